--- a/Source/Availability/endpointavailabilities.cpp
+++ b/Source/Availability/endpointavailabilities.cpp
@@ -28,10 +28,10 @@
     }
     KnownAvailability &known = m_known[endpoint];
     if (stated.leaves && !known.leaves(now)) {
-        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaves, {{"endpoint", endpoint}, {"source", "answer"}});
+        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaving, {{"endpoint", endpoint}, {"source", "answer"}});
     }
     if (stated.rest > Duration::zero()) {
-        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointRests,
+        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointCooldown,
                   {{"endpoint", endpoint},
                    {"for-ms", Base::milliseconds(stated.rest)},
                    {"rested", known.rests(now)},
--- a/Source/Base/compression.cpp
+++ b/Source/Base/compression.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-absl::StatusOr<std::string> compressed(std::string_view text, std::string_view known)
+absl::StatusOr<std::string> compress(std::string_view text, std::string_view known)
 {
     const std::unique_ptr<ZSTD_CCtx, FreeCompressor> context(ZSTD_createCCtx());
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, compressionLevel);
@@ -63,7 +63,7 @@
     return bytes;
 }
 
-absl::StatusOr<std::string> expanded(std::string_view bytes, std::string_view known, std::size_t most)
+absl::StatusOr<std::string> decompress(std::string_view bytes, std::string_view known, std::size_t most)
 {
     const unsigned long long size = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
     if (size == ZSTD_CONTENTSIZE_UNKNOWN || size == ZSTD_CONTENTSIZE_ERROR || size > most) {
--- a/Source/Base/compression.h
+++ b/Source/Base/compression.h
@@ -16,10 +16,10 @@
 
 /// @p text as bytes from which expanded() makes it again, given the same @p known. What @p text has in common with @p known
 /// costs next to nothing. Fails with ErrorKind::Internal for want of memory.
-absl::StatusOr<std::string> compressed(std::string_view text, std::string_view known);
+absl::StatusOr<std::string> compress(std::string_view text, std::string_view known);
 
 /// The text that @p bytes were made of, at most @p most bytes of it. Fails with ErrorKind::InvalidValue if they are damaged, or
 /// were made with another @p known.
-absl::StatusOr<std::string> expanded(std::string_view bytes, std::string_view known, std::size_t most);
+absl::StatusOr<std::string> decompress(std::string_view bytes, std::string_view known, std::size_t most);
 
 } // namespace Yokepond::Base
--- a/Source/Base/hash.h
+++ b/Source/Base/hash.h
@@ -16,7 +16,7 @@
 std::uint64_t hash64(std::string_view text, std::uint64_t seed = 0);
 
 /// A number that depends on every bit of both: for weights of many pairs, each of whose members was hashed once.
-constexpr std::uint64_t mixed(std::uint64_t left, std::uint64_t right)
+constexpr std::uint64_t combineHashes(std::uint64_t left, std::uint64_t right)
 {
     // The finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
     std::uint64_t value = left ^ (right * 0x9e3779b97f4a7c15U);
--- a/Source/Base/invariant.cpp
+++ b/Source/Base/invariant.cpp
@@ -16,7 +16,7 @@
     {Invariant::HigherTierKept, "higher-tier-kept"},
     {Invariant::PermitsWithinGrants, "permits-within-grants"},
     {Invariant::AnsweredOnce, "answered-once"},
-    {Invariant::LeavingGetsNothing, "leaving-gets-nothing"},
+    {Invariant::NoWorkWhenLeaving, "leaving-gets-nothing"},
     {Invariant::RevisionGrows, "revision-grows"},
     {Invariant::RunOnce, "run-once"},
     {Invariant::NotRunIsTrue, "not-run-is-true"},
@@ -27,7 +27,7 @@
 
 } // namespace
 
-void require(bool holds, Invariant invariant)
+void checkInvariant(bool holds, Invariant invariant)
 {
     if (holds) {
         return;
--- a/Source/Base/invariant.h
+++ b/Source/Base/invariant.h
@@ -16,14 +16,14 @@
     HigherTierKept, ///< no ask is shed while one of a lower tier is queued
     PermitsWithinGrants, ///< an endpoint's count of runs equals the permits held for it
     AnsweredOnce, ///< an ask gets one grant or refusal, a caller one answer
-    LeavingGetsNothing, ///< a drained endpoint or leaving host gets no new work
+    NoWorkWhenLeaving, ///< a drained endpoint or leaving host gets no new work
     RevisionGrows, ///< the configuration never goes back
     RunOnce, ///< an unrepeatable request is started at most once
     NotRunIsTrue, ///< a request answered `not-run` was never started
 };
 
 /// Logs and counts a violation of @p invariant unless @p holds.
-void require(bool holds, Invariant invariant);
+void checkInvariant(bool holds, Invariant invariant);
 
 /// Violations since the process started.
 std::uint64_t invariantViolations();
--- a/Source/Base/log.cpp
+++ b/Source/Base/log.cpp
@@ -29,17 +29,17 @@
     {LogEvent::RequestEnded, "request-ended"},
     {LogEvent::AskRefused, "ask-refused"},
     {LogEvent::PermitExpired, "permit-expired"},
-    {LogEvent::LinesLeftOut, "lines-left-out"},
+    {LogEvent::LinesDropped, "lines-left-out"},
     {LogEvent::RequestAbandoned, "request-abandoned"},
     {LogEvent::EndpointEjected, "endpoint-ejected"},
-    {LogEvent::EndpointGone, "endpoint-gone"},
+    {LogEvent::EndpointReplaced, "endpoint-gone"},
     {LogEvent::EndpointReturned, "endpoint-returned"},
     {LogEvent::EndpointRate, "endpoint-rate"},
     {LogEvent::RateUnreadable, "rate-unreadable"},
-    {LogEvent::EndpointLeaves, "endpoint-leaves"},
-    {LogEvent::EndpointRests, "endpoint-rests"},
+    {LogEvent::EndpointLeaving, "endpoint-leaves"},
+    {LogEvent::EndpointCooldown, "endpoint-rests"},
     {LogEvent::AvailabilityUnreadable, "availability-unreadable"},
-    {LogEvent::ReadingSpeedLearned, "reading-speed-learned"},
+    {LogEvent::PrefillSpeedLearned, "reading-speed-learned"},
     {LogEvent::LongestPauseLearned, "longest-pause-learned"},
     {LogEvent::MemberChanged, "member-changed"},
     {LogEvent::PeerConnected, "peer-connected"},
@@ -50,11 +50,11 @@
     {LogEvent::ChangesSent, "changes-sent"},
     {LogEvent::ChangesReceived, "changes-received"},
     {LogEvent::StoreLost, "store-lost"},
-    {LogEvent::StoreBack, "store-back"},
+    {LogEvent::StoreRecovered, "store-back"},
     {LogEvent::FollowsStore, "follows-store"},
     {LogEvent::FollowDelegated, "follow-delegated"},
     {LogEvent::ReadinessChanged, "readiness-changed"},
-    {LogEvent::WorkHeld, "work-held"},
+    {LogEvent::WorkQuarantined, "work-held"},
     {LogEvent::WorkCleared, "work-cleared"},
     {LogEvent::LeaseTaken, "lease-taken"},
     {LogEvent::LeaseLost, "lease-lost"},
@@ -126,7 +126,7 @@
         return;
     }
     if (const std::uint64_t leftOut = logWriter()->append(line); leftOut > 0) {
-        log(LogLevel::Warning, LogEvent::LinesLeftOut, {{"lines", leftOut}});
+        log(LogLevel::Warning, LogEvent::LinesDropped, {{"lines", leftOut}});
     }
 }
 
--- a/Source/Base/loop.cpp
+++ b/Source/Base/loop.cpp
@@ -27,7 +27,7 @@
     return ACE_Time_Value(whole.count(), static_cast<suseconds_t>((duration - whole).count()));
 }
 
-class TimerHandler : public Loop::Timer, public ACE_Event_Handler
+class TimerHandler : public Loop::Registration, public ACE_Event_Handler
 {
 public:
     TimerHandler(ACE_Reactor &reactor, Duration delay, Duration period, Loop::Task task)
@@ -55,7 +55,7 @@
     long m_id;
 };
 
-class ReadableHandler : public Loop::Timer, public ACE_Event_Handler
+class ReadableHandler : public Loop::Registration, public ACE_Event_Handler
 {
 public:
     ReadableHandler(ACE_Reactor &reactor, int descriptor, Loop::Task task)
@@ -142,7 +142,7 @@
 
     SignalTasks m_tasks;
     int m_descriptor = -1;
-    std::unique_ptr<Timer> m_handler;
+    std::unique_ptr<Registration> m_handler;
 };
 
 namespace {
@@ -181,17 +181,17 @@
     return m_reactor;
 }
 
-std::unique_ptr<Loop::Timer> Loop::every(Duration period, Task task)
+std::unique_ptr<Loop::Registration> Loop::every(Duration period, Task task)
 {
     return std::make_unique<TimerHandler>(m_reactor, period, period, std::move(task));
 }
 
-std::unique_ptr<Loop::Timer> Loop::after(Duration delay, Task task)
+std::unique_ptr<Loop::Registration> Loop::after(Duration delay, Task task)
 {
     return std::make_unique<TimerHandler>(m_reactor, delay, Duration::zero(), std::move(task));
 }
 
-std::unique_ptr<Loop::Timer> Loop::whenReadable(int descriptor, Task task)
+std::unique_ptr<Loop::Registration> Loop::whenReadable(int descriptor, Task task)
 {
     return std::make_unique<ReadableHandler>(m_reactor, descriptor, std::move(task));
 }
--- a/Source/Base/loop.h
+++ b/Source/Base/loop.h
@@ -26,7 +26,7 @@
     using Task = std::function<void()>;
 
     /// A timer that ends when its handle goes.
-    class Timer;
+    class Registration;
 
     Loop();
     ~Loop();
@@ -36,14 +36,14 @@
     ACE_Reactor &reactor();
 
     /// Calls @p task every @p period, the first time after one period.
-    std::unique_ptr<Timer> every(Duration period, Task task);
+    std::unique_ptr<Registration> every(Duration period, Task task);
 
     /// Calls @p task once after @p delay.
-    std::unique_ptr<Timer> after(Duration delay, Task task);
+    std::unique_ptr<Registration> after(Duration delay, Task task);
 
     /// Calls @p task whenever @p descriptor is readable, until the handle goes. The descriptor stays the caller's and must be
     /// below 1024 (FD_SETSIZE): it is made before the process opens many connections.
-    std::unique_ptr<Timer> whenReadable(int descriptor, Task task);
+    std::unique_ptr<Registration> whenReadable(int descriptor, Task task);
 
     /// What to do for a signal, on the loop.
     struct SignalTasks
@@ -68,10 +68,10 @@
     std::unique_ptr<SignalHandler> m_signals;
 };
 
-class Loop::Timer
+class Loop::Registration
 {
 public:
-    virtual ~Timer() = default;
+    virtual ~Registration() = default;
 };
 
 } // namespace Yokepond::Base
--- a/Source/Configuration/changescodec.cpp
+++ b/Source/Configuration/changescodec.cpp
@@ -27,7 +27,7 @@
 
 absl::StatusOr<PackedChanges> packAgainst(const RecordChanges &changes, const Record *configuration, std::uint64_t base)
 {
-    auto bytes = Base::compressed(changesToText(changes), knownText(configuration));
+    auto bytes = Base::compress(changesToText(changes), knownText(configuration));
     if (!bytes.ok()) {
         return bytes.status();
     }
@@ -71,7 +71,7 @@
         return makeError(Base::ErrorKind::InvalidValue,
                          fmt::format("changes are against the configuration of version {}, which is not held here", packed.base));
     }
-    const auto text = Base::expanded(packed.bytes, knownText(base), mostUnpacked);
+    const auto text = Base::decompress(packed.bytes, knownText(base), mostUnpacked);
     if (!text.ok()) {
         return text.status();
     }
--- a/Source/Configuration/siterecords.cpp
+++ b/Source/Configuration/siterecords.cpp
@@ -162,7 +162,7 @@
 std::uint64_t SiteRecords::digest() const
 {
     const RecordRevisions complete = revisions();
-    return static_cast<std::uint32_t>(Base::mixed(complete.configuration, complete.endpoints));
+    return static_cast<std::uint32_t>(Base::combineHashes(complete.configuration, complete.endpoints));
 }
 
 std::vector<const Record *> SiteRecords::present(RecordKind kind) const
--- a/Source/Dispatch/dispatcher.cpp
+++ b/Source/Dispatch/dispatcher.cpp
@@ -68,7 +68,7 @@
     }
 }
 
-void Dispatcher::receive(Base::Instant now, const Home &home, const Peer::EndpointNews &news)
+void Dispatcher::receive(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news)
 {
     if (const auto shard = m_shards.find(news.shard); shard != m_shards.end()) {
         shard->second.hearEndpoint(now, home, news);
--- a/Source/Dispatch/dispatcher.h
+++ b/Source/Dispatch/dispatcher.h
@@ -28,7 +28,7 @@
     void receive(Base::Instant now, const Home &home, const Peer::Withdrawal &withdrawal);
     void receive(Base::Instant now, const Home &home, const Peer::Release &release);
     void receive(Base::Instant now, const Home &home, const Peer::RunningReport &report);
-    void receive(Base::Instant now, const Home &home, const Peer::EndpointNews &news);
+    void receive(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news);
 
     /// Drops everything of a member's incarnations other than @p keep (0: all).
     void homeGone(Base::Instant now, const std::string &name, std::uint64_t keep);
--- a/Source/Dispatch/preference.cpp
+++ b/Source/Dispatch/preference.cpp
@@ -17,7 +17,7 @@
 
 std::uint64_t preferenceWeight(std::uint32_t endpoint, std::uint64_t shared)
 {
-    return Base::mixed(shared, endpoint);
+    return Base::combineHashes(shared, endpoint);
 }
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/shard.cpp
+++ b/Source/Dispatch/shard.cpp
@@ -180,7 +180,7 @@
         return;
     }
     entry->second.gone = true;
-    Base::log(Base::LogLevel::Warning, Base::LogEvent::EndpointGone,
+    Base::log(Base::LogLevel::Warning, Base::LogEvent::EndpointReplaced,
               {{"endpoint", endpoint}, {"permits", entry->second.running}});
     distrustUnusable();
     refuseAllIfNone();
@@ -339,7 +339,7 @@
 {
     if (reason == RefusalReason::QueueFull && std::holds_alternative<TieredOrder>(m_order)) {
         const std::size_t ofTierOrAbove = std::get<TieredOrder>(m_order).aheadOf(ask.terms.rank);
-        Base::require(ofTierOrAbove == queued(), Base::Invariant::HigherTierKept);
+        Base::checkInvariant(ofTierOrAbove == queued(), Base::Invariant::HigherTierKept);
     }
     refuse(ask, reason, retryAfter());
 }
@@ -447,7 +447,7 @@
         EndpointState &state = m_endpoints[permit->second.endpoint];
         const ClassTerms &terms = permit->second.terms;
         const bool failed = release.result == RunResult::Failed || release.result == RunResult::Unreachable;
-        const bool answeredError = release.result == RunResult::AnsweredError;
+        const bool answeredError = release.result == RunResult::ErrorResponse;
         if (answeredError || release.result == RunResult::Failed || release.result == RunResult::Completed) {
             state.rests.accepted();
         }
@@ -461,7 +461,7 @@
         dropPermit(key, {release.firstToken, {release.gap, release.longestGap}});
         ejectBad(now);
     }
-    if (release.result == RunResult::Refused) {
+    if (release.result == RunResult::Rejected) {
         noteTurnedAway(now, home, release.endpoint);
     }
     if (release.result == RunResult::Gone) {
@@ -503,7 +503,7 @@
     pump(now, mostPassedOverAtEvent);
 }
 
-void Shard::hearEndpoint(Instant now, const Home &home, const Peer::EndpointNews &news)
+void Shard::hearEndpoint(Instant now, const Home &home, const Peer::EndpointUpdate &news)
 {
     const auto endpoint = m_endpoints.find(news.endpoint);
     if (endpoint != m_endpoints.end()) {
@@ -515,7 +515,7 @@
 
 /// Every run at an endpoint that limits its rate is to be counted, and only the dispatcher sees them all. What it counts by it
 /// has from the homes: those whose runs were told, and those that know better than a grant that comes to them.
-void Shard::hearRate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
+void Shard::hearRate(Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state)
 {
     const Rate::KnownRate before = state.pace.known();
     if (state.pace.hear(now, Rate::knownFrom(news.rate, now))) {
@@ -524,25 +524,25 @@
     }
 }
 
-void Shard::hearLeaving(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
+void Shard::hearLeaving(Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state)
 {
     if (news.availability.leavesFor == Duration::zero()) {
         return;
     }
     state.leavesUntil = std::max(state.leavesUntil, now + news.availability.leavesFor);
     if (!std::exchange(state.saysItLeaves, true)) {
-        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaves, {{"endpoint", news.endpoint}, {"source", home.name}});
+        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaving, {{"endpoint", news.endpoint}, {"source", home.name}});
         distrustUnusable();
         refuseAllIfNone();
     }
 }
 
-void Shard::hearRest(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
+void Shard::hearRest(Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state)
 {
     if (news.availability.restsFor == Duration::zero()) {
         return;
     }
-    Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointRests,
+    Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointCooldown,
               {{"endpoint", news.endpoint},
                {"for-ms", Base::milliseconds(news.availability.restsFor)},
                {"rested", !state.rests.allow(now, home.incarnation)},
@@ -766,8 +766,8 @@
     const Candidate chosen {endpoint, state.running, state.running + room(state, now), state.memoryTokens,
                             state.movedTokensPerMs};
     const PlacedRun placed = std::visit([&](auto &placement) { return placement.placed(ask, chosen, now); }, m_placement);
-    Base::require(state.isUsable(), Base::Invariant::LeavingGetsNothing);
-    Base::require(!m_permits.contains(ask.key), Base::Invariant::AnsweredOnce);
+    Base::checkInvariant(state.isUsable(), Base::Invariant::NoWorkWhenLeaving);
+    Base::checkInvariant(!m_permits.contains(ask.key), Base::Invariant::AnsweredOnce);
     ++state.running;
     const Rate::RateWord rate = state.pace.known().word(now);
     state.pace.spend(now);
@@ -793,7 +793,7 @@
 
 void Shard::checkPermits() const
 {
-    Base::require(runningOn(m_endpoints) == m_permits.size(), Base::Invariant::PermitsWithinGrants);
+    Base::checkInvariant(runningOn(m_endpoints) == m_permits.size(), Base::Invariant::PermitsWithinGrants);
 }
 
 void Shard::handOver()
--- a/Source/Dispatch/shard.h
+++ b/Source/Dispatch/shard.h
@@ -73,7 +73,7 @@
     void report(Base::Instant now, const Home &home, const Peer::RunningReport &report);
 
     /// A home knows something of an endpoint by the endpoint's own answers.
-    void hearEndpoint(Base::Instant now, const Home &home, const Peer::EndpointNews &news);
+    void hearEndpoint(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news);
 
     /// Drops all asks and permits of a home that is dead; an incarnation of 0 stands for all but @p keep.
     void homeGone(Base::Instant now, const std::string &name, std::uint64_t keep);
@@ -140,9 +140,9 @@
     void refuseLate(Base::Instant now);
     void dropExpired(Base::Instant now);
     void ejectBad(Base::Instant now);
-    void hearRate(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
-    void hearLeaving(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
-    void hearRest(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
+    void hearRate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state);
+    void hearLeaving(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state);
+    void hearRest(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state);
     void noteTurnedAway(Base::Instant now, const Home &home, std::uint32_t endpoint);
     void endRests(Base::Instant now);
     bool isAllowed(Base::Instant now, const QueuedAsk &ask, std::uint32_t endpoint) const;
--- a/Source/Dispatch/shardmap.cpp
+++ b/Source/Dispatch/shardmap.cpp
@@ -58,7 +58,7 @@
     for (const auto &[hash, endpoint] : hashed) {
         auto open = std::views::iota(std::size_t {0}, shards)
             | std::views::filter([&](std::size_t index) { return divided[index].size() < most; });
-        const auto weight = [own = hash](std::size_t index) { return Base::mixed(own, index + 1); };
+        const auto weight = [own = hash](std::size_t index) { return Base::combineHashes(own, index + 1); };
         divided[*std::ranges::max_element(open, {}, weight)].push_back(endpoint);
     }
     return divided;
@@ -112,7 +112,7 @@
         const bool stays = member.state != MemberState::Leaving;
         const bool near = member.dataCentre == shard.dataCentre;
         // Its work grows with the fleet: a small host among larger ones would run out of processor time first.
-        return std::tuple(stays, near, member.milliCores, Base::mixed(hashed.hash, shard.id));
+        return std::tuple(stays, near, member.milliCores, Base::combineHashes(hashed.hash, shard.id));
     };
     const auto best = std::ranges::max_element(members, {}, preference);
     return best == members.end() ? std::string() : best->member->name;
--- a/Source/Dispatch/soonestfirsttoken.cpp
+++ b/Source/Dispatch/soonestfirsttoken.cpp
@@ -421,7 +421,7 @@
     m_tokensPerMs += poolShareOfOneEngine * (engine.tokensPerMs - m_tokensPerMs);
     if (std::abs(m_tokensPerMs - m_loggedTokensPerMs) > leastLoggedChange * m_loggedTokensPerMs) {
         m_loggedTokensPerMs = m_tokensPerMs;
-        Base::log(Base::LogLevel::Info, Base::LogEvent::ReadingSpeedLearned,
+        Base::log(Base::LogLevel::Info, Base::LogEvent::PrefillSpeedLearned,
                   {{"tokens-per-ms", m_tokensPerMs},
                    {"endpoint", run.endpoint},
                    {"unread", run.unread},
--- a/Source/Http/client.cpp
+++ b/Source/Http/client.cpp
@@ -370,8 +370,8 @@
     Id m_nextId = 1;
     std::unordered_map<Id, std::unique_ptr<Running>> m_running;
     std::vector<Id> m_cancelled;
-    std::unique_ptr<Base::Loop::Timer> m_timer;
-    std::unique_ptr<Base::Loop::Timer> m_readable;
+    std::unique_ptr<Base::Loop::Registration> m_timer;
+    std::unique_ptr<Base::Loop::Registration> m_readable;
 };
 
 Client::Client(Base::Loop &loop, std::size_t keptConnections)
--- a/Source/Http/server.cpp
+++ b/Source/Http/server.cpp
@@ -185,10 +185,10 @@
     int m_watchDescriptor = -1;
     std::map<LibraryExchange *, std::shared_ptr<LibraryExchange>> m_open;
     std::map<int, std::weak_ptr<LibraryExchange>> m_watched;
-    std::unique_ptr<Base::Loop::Timer> m_readable;
-    std::unique_ptr<Base::Loop::Timer> m_watchReadable;
-    std::unique_ptr<Base::Loop::Timer> m_soon;
-    std::unique_ptr<Base::Loop::Timer> m_timer;
+    std::unique_ptr<Base::Loop::Registration> m_readable;
+    std::unique_ptr<Base::Loop::Registration> m_watchReadable;
+    std::unique_ptr<Base::Loop::Registration> m_soon;
+    std::unique_ptr<Base::Loop::Registration> m_timer;
 };
 
 std::string rawResponse(const absl::Status &error, std::string_view body)
--- a/Source/Node/answers.cpp
+++ b/Source/Node/answers.cpp
@@ -31,7 +31,7 @@
     constexpr int httpGatewayTimeout = 504;
     const int status = Base::httpStatus(Base::errorKind(error));
     // That a request ends endpoints is this fleet's belief, not something that the caller could have known.
-    const bool believed = Base::errorKind(error) == Base::ErrorKind::EndsEndpoints;
+    const bool believed = Base::errorKind(error) == Base::ErrorKind::CrashesEndpoints;
     const bool wrongInItself = !believed && status >= httpBadRequest && status < httpServerError && status != httpTooManyRequests;
     if (outcome == Request::Outcome::NotRun) {
         return wrongInItself ? status : httpUnavailable;
--- a/Source/Node/daemon.cpp
+++ b/Source/Node/daemon.cpp
@@ -196,7 +196,7 @@
     if (m_settings.scaling != ScalingMode::Off) {
         ScalingDutyOptions scaling {.host = m_settings.name, .incarnation = m_incarnation};
         scaling.scaler.lease = options.reporter.lease;
-        scaling.scaler.dry = m_settings.scaling == ScalingMode::Dry;
+        scaling.scaler.dryRun = m_settings.scaling == ScalingMode::Dry;
         m_scaling = std::make_unique<ScalingDuty<Platform::DutyClient>>(*m_dutyClient, scaling, Base::now());
     }
     showDutiesTheView();
@@ -236,13 +236,13 @@
     }
     std::visit([this](const auto &entry) { handlePeer(entry); }, *peer);
     settle();
-    const auto *received = std::get_if<Peer::Received>(peer);
+    const auto *received = std::get_if<Peer::MessagesReceived>(peer);
     if (received != nullptr && received->token != 0) {
-        m_peers->handled(received->token);
+        m_peers->markHandled(received->token);
     }
 }
 
-void Daemon::handlePeer(const Peer::Received &received)
+void Daemon::handlePeer(const Peer::MessagesReceived &received)
 {
     const Base::Instant now = Base::now();
     const Dispatch::Home from {received.from, received.incarnation};
@@ -290,7 +290,7 @@
     sendToMember(from, Peer::Gathered {gather.id, rows.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace)});
 }
 
-void Daemon::handlePeer(const Peer::Lost &lost)
+void Daemon::handlePeer(const Peer::MessagesLost &lost)
 {
     const std::string member = m_fleet->memberAt(lost.address);
     if (!member.empty()) {
--- a/Source/Node/daemon.h
+++ b/Source/Node/daemon.h
@@ -57,8 +57,8 @@
     void startDuties();
     void reloadSettings();
     void handle(EdgeEvent event);
-    void handlePeer(const Peer::Received &received);
-    void handlePeer(const Peer::Lost &lost);
+    void handlePeer(const Peer::MessagesReceived &received);
+    void handlePeer(const Peer::MessagesLost &lost);
     void handleRelay(Relay::Event event);
     void answerGather(const std::string &from, const Peer::Gather &gather);
     void sendToMember(const std::string &member, Peer::Message message);
@@ -97,7 +97,7 @@
     std::unique_ptr<Queries> m_queries;
     std::unique_ptr<Gatherer> m_gatherer;
     std::unique_ptr<Console> m_console;
-    std::unique_ptr<Base::Loop::Timer> m_timer;
+    std::unique_ptr<Base::Loop::Registration> m_timer;
     bool m_settling = false;
     bool m_wasReady = false;
     StopStage m_stopStage = StopStage::None;
--- a/Source/Node/fleet.cpp
+++ b/Source/Node/fleet.cpp
@@ -107,7 +107,7 @@
         m_polling = false;
         if (answered != m_storeAnswers) {
             Base::log(answered ? Base::LogLevel::Info : Base::LogLevel::Warning,
-                      answered ? Base::LogEvent::StoreBack : Base::LogEvent::StoreLost,
+                      answered ? Base::LogEvent::StoreRecovered : Base::LogEvent::StoreLost,
                       {{"platform", m_settings.platform.text()}, {"revision", m_replica.revision()}});
         }
         m_storeAnswers = answered;
@@ -241,7 +241,7 @@
     m_pulls.answered(from);
     const std::uint64_t before = m_replica.revision();
     const bool grown = m_replica.update({changes.snapshot, changes.log});
-    Base::require(m_replica.revision() >= before, Base::Invariant::RevisionGrows);
+    Base::checkInvariant(m_replica.revision() >= before, Base::Invariant::RevisionGrows);
     if (grown) {
         configurationGrown();
     }
--- a/Source/Node/front.cpp
+++ b/Source/Node/front.cpp
@@ -254,7 +254,7 @@
     request.expectedTokens = call.expectedTokens;
     request.rank = admitted.rank;
     request.timeLeft = call.timeLeft;
-    admitted.work = Base::mixed(call.work, admitted.organisation);
+    admitted.work = Base::combineHashes(call.work, admitted.organisation);
     request.work = admitted.work;
     request.streams = call.streams || admitted.requestClass.streams;
     m_admitted.emplace(call.id, std::move(admitted));
@@ -290,7 +290,7 @@
         return;
     }
     case OperationState::NotHeld:
-        refuse(call.id, makeError(ErrorKind::AnswerNotHeld, "the operation completed; its answer is no longer held"),
+        refuse(call.id, makeError(ErrorKind::ResponseNotStored, "the operation completed; its answer is no longer held"),
                Outcome::Completed);
         return;
     case OperationState::Unknown:
@@ -414,7 +414,7 @@
         return;
     }
     if (record.outcome == Outcome::Completed) {
-        refuse(call.id, makeError(ErrorKind::AnswerNotHeld, "the operation completed; its answer is not held here"),
+        refuse(call.id, makeError(ErrorKind::ResponseNotStored, "the operation completed; its answer is not held here"),
                Outcome::Completed);
         return;
     }
@@ -436,7 +436,7 @@
             refuse(call.call,
                    makeError(ErrorKind::KeyReused, "the Idempotency-Key was used for another request; take a new one"));
         } else if (record != nullptr && record->outcome == Outcome::Completed) {
-            refuse(call.call, makeError(ErrorKind::AnswerNotHeld, "the operation completed; its answer is not held any more"),
+            refuse(call.call, makeError(ErrorKind::ResponseNotStored, "the operation completed; its answer is not held any more"),
                    Outcome::Completed);
         } else {
             refuse(call.call,
@@ -480,8 +480,9 @@
             answer(call, std::move(copy));
         } else {
             refuse(call,
-                   error.ok() ? makeError(ErrorKind::AnswerNotHeld, "the operation completed; its answer was too large to hold")
-                              : error,
+                   error.ok()
+                       ? makeError(ErrorKind::ResponseNotStored, "the operation completed; its answer was too large to hold")
+                       : error,
                    outcome);
         }
     }
@@ -567,10 +568,10 @@
     if (const auto left = m_admitted.find(over.report.id.request); left != m_admitted.end()) {
         const Admitted admitted = std::move(left->second);
         m_admitted.erase(left);
-        logEnd(admitted, Outcome::Unknown, makeError(ErrorKind::CallerGone, "the caller went away while it ran"));
+        logEnd(admitted, Outcome::Unknown, makeError(ErrorKind::CallerDisconnected, "the caller went away while it ran"));
         const Outcome outcome = over.report.stage == Request::RunStage::Stale ? Outcome::NotRun : Outcome::Unknown;
         endOperation(admitted, outcome, std::nullopt,
-                     makeError(ErrorKind::CallerGone, "the caller that began the operation went away"));
+                     makeError(ErrorKind::CallerDisconnected, "the caller that began the operation went away"));
     }
 }
 
@@ -623,10 +624,10 @@
     if (m_home.active() < before) {
         // It had not started, so that it ends here.
         m_admitted.erase(id);
-        logEnd(admitted, Outcome::NotRun, makeError(ErrorKind::CallerGone, "the caller went away before it ran"));
+        logEnd(admitted, Outcome::NotRun, makeError(ErrorKind::CallerDisconnected, "the caller went away before it ran"));
         if (operation) {
             endOperation(admitted, Outcome::NotRun, std::nullopt,
-                         makeError(ErrorKind::CallerGone, "the caller that began the operation went away before it ran"));
+                         makeError(ErrorKind::CallerDisconnected, "the caller that began the operation went away before it ran"));
         }
     }
 }
--- a/Source/Node/scalingduty.h
+++ b/Source/Node/scalingduty.h
@@ -87,14 +87,14 @@
     void carryOut(const Scaling::ReadRow &)
     {
         m_platform.readRow(std::string(dutyName),
-                           [this](const std::optional<Lease::StoredRow> &row) { m_scaler.rowRead(m_options.clock(), row); });
+                           [this](const std::optional<Lease::StoredRow> &row) { m_scaler.onRowRead(m_options.clock(), row); });
     }
 
     void carryOut(const Scaling::WriteRow &write)
     {
         m_platform.writeRow(std::string(dutyName), write.expectedVersion, write.value,
                             [this](Lease::WriteResult result, std::uint64_t version, const std::optional<Lease::StoredRow> &row) {
-                                m_scaler.rowWritten(m_options.clock(), result, version, row);
+                                m_scaler.onRowWritten(m_options.clock(), result, version, row);
                             });
     }
 
@@ -112,7 +112,7 @@
                        {"fence", send.fence},
                        {"result", Base::nameOf(Scaling::orderResultNames, result)},
                        {"answer", reason}});
-            m_scaler.ordered(m_options.clock(), order, result);
+            m_scaler.onOrdered(m_options.clock(), order, result);
         });
     }
 
--- a/Source/Node/sitewatch.h
+++ b/Source/Node/sitewatch.h
@@ -210,7 +210,7 @@
     {
         const Base::Instant now = m_options.clock();
         table.calling = false;
-        if (!page.ok() && Base::errorKind(page.status()) == Base::ErrorKind::HistoryGone) {
+        if (!page.ok() && Base::errorKind(page.status()) == Base::ErrorKind::HistoryCompacted) {
             table.readWhole = true;
             table.next = now;
             return;
--- a/Source/Node/storefollower.h
+++ b/Source/Node/storefollower.h
@@ -138,7 +138,7 @@
     void storeAnswers(const StoreNews &news)
     {
         Base::log(news.answers ? Base::LogLevel::Info : Base::LogLevel::Warning,
-                  news.answers ? Base::LogEvent::StoreBack : Base::LogEvent::StoreLost,
+                  news.answers ? Base::LogEvent::StoreRecovered : Base::LogEvent::StoreLost,
                   {{"platform", m_options.platform},
                    {"revision", m_fleet.revision()},
                    {"kind", Base::nameOf(Configuration::recordKindNames, news.kind)},
--- a/Source/Node/usageduty.h
+++ b/Source/Node/usageduty.h
@@ -101,7 +101,7 @@
     void receive(Base::Instant now, const std::string &from, std::uint64_t incarnation, const Peer::UsageCounts &counts)
     {
         const Base::Duration offset(counts.clock - m_clock.at(now));
-        m_fleet.take(now, from, incarnation, offset, counts.entries);
+        m_fleet.update(now, from, incarnation, offset, counts.entries);
         const Usage::FleetTime fleetTime = m_clock.at(now) + m_fleet.clockOffset(now).count();
         m_send(from, Peer::UsageReceived {fleetTime, m_reporter.fixedUpTo(), m_reporter.isHolder()});
     }
@@ -116,7 +116,7 @@
         if (received.holder && from != m_options.host) {
             m_holder = from;
             m_holderPresent = true;
-            m_reporter.heardFixed(received.fixedUpTo);
+            m_reporter.updateFixedUpTo(received.fixedUpTo);
         }
     }
 
@@ -129,7 +129,7 @@
 
     UsageView view(Base::Instant now) const
     {
-        return {m_reporter.view(now), m_rank, m_fleet.hosts(now), m_reports, m_failures};
+        return {m_reporter.view(now), m_rank, m_fleet.recentHosts(now), m_reports, m_failures};
     }
 
 private:
@@ -145,15 +145,15 @@
     void tell(Base::Instant now)
     {
         const Usage::WindowNumber present = Usage::windowOf(m_clock.at(now), m_options.reporter.window);
-        m_own.forgetBefore(present);
-        m_fleet.forgetBefore(present);
+        m_own.removeExpired(present);
+        m_fleet.removeExpired(present);
         std::vector<std::string> to = m_collectors;
         if (m_holderPresent && std::ranges::find(to, m_holder) == to.end()) {
             to.push_back(m_holder);
         }
         const Peer::UsageCounts counts {m_clock.at(now), m_own.entries(m_reporter.fixedUpTo())};
         // What this host counted itself it always knows, also if it takes over.
-        m_fleet.take(now, m_options.host, m_options.incarnation, Base::Duration::zero(), counts.entries);
+        m_fleet.update(now, m_options.host, m_options.incarnation, Base::Duration::zero(), counts.entries);
         for (const std::string &member : to) {
             if (member != m_options.host) {
                 m_send(member, counts);
@@ -168,14 +168,14 @@
     void carryOut(const Usage::ReadRow &)
     {
         m_platform.readRow(std::string(dutyName),
-                           [this](const std::optional<Lease::StoredRow> &row) { m_reporter.rowRead(m_options.clock(), row); });
+                           [this](const std::optional<Lease::StoredRow> &row) { m_reporter.onRowRead(m_options.clock(), row); });
     }
 
     void carryOut(const Usage::WriteRow &write)
     {
         m_platform.writeRow(std::string(dutyName), write.expectedVersion, write.value,
                             [this](Lease::WriteResult result, std::uint64_t version, const std::optional<Lease::StoredRow> &row) {
-                                m_reporter.rowWritten(m_options.clock(), result, version, row);
+                                m_reporter.onRowWritten(m_options.clock(), result, version, row);
                             });
     }
 
@@ -188,7 +188,7 @@
             Base::log(accepted ? Base::LogLevel::Info : Base::LogLevel::Warning,
                       accepted ? Base::LogEvent::UsageReported : Base::LogEvent::UsageReportFailed,
                       {{"window", window}, {"fence", fence}, {"organisations", organisations}, {"answer", reason}});
-            m_reporter.reported(m_options.clock(), window, result);
+            m_reporter.onReported(m_options.clock(), window, result);
         };
         m_platform.report(m_options.host, report, handler);
     }
--- a/Source/Peer/codec.cpp
+++ b/Source/Peer/codec.cpp
@@ -182,7 +182,7 @@
         }
     }
 
-    void operator()(const EndpointNews &news)
+    void operator()(const EndpointUpdate &news)
     {
         auto builder = message.initEndpointNews();
         builder.setShard(news.shard);
@@ -236,7 +236,7 @@
         builder.setJustBegan(broke.justBegan);
     }
 
-    void operator()(const QuarantineNews &news)
+    void operator()(const QuarantineUpdate &news)
     {
         auto builder = message.initQuarantineNews();
         builder.setDigest(news.digest);
@@ -245,7 +245,7 @@
             entries[index].setWork(news.entries[index].work);
             entries[index].setRound(news.entries[index].round);
             entries[index].setHeld(news.entries[index].held);
-            entries[index].setFirstEndingMs(toMilliseconds(news.entries[index].firstEndingAge));
+            entries[index].setFirstEndingMs(toMilliseconds(news.entries[index].firstCrashAge));
             entries[index].setLeftMs(toMilliseconds(news.entries[index].left));
         }
     }
@@ -464,9 +464,9 @@
     return counts;
 }
 
-QuarantineNews decodeQuarantine(Wire::QuarantineNews::Reader reader)
+QuarantineUpdate decodeQuarantine(Wire::QuarantineNews::Reader reader)
 {
-    QuarantineNews news;
+    QuarantineUpdate news;
     news.digest = reader.getDigest();
     for (const auto entry : reader.getEntries()) {
         news.entries.push_back({entry.getWork(), entry.getRound(), entry.getHeld(), fromMilliseconds(entry.getFirstEndingMs()),
@@ -536,10 +536,10 @@
     }
     case Wire::Message::ENDPOINT_NEWS: {
         const auto news = reader.getEndpointNews();
-        return EndpointNews {news.getShard(),
-                             news.getEndpoint(),
-                             decodeRate(news.getRate()),
-                             {fromMilliseconds(news.getLeavesForMs()), fromMilliseconds(news.getRestsForMs())}};
+        return EndpointUpdate {news.getShard(),
+                               news.getEndpoint(),
+                               decodeRate(news.getRate()),
+                               {fromMilliseconds(news.getLeavesForMs()), fromMilliseconds(news.getRestsForMs())}};
     }
     case Wire::Message::QUARANTINE_NEWS:
         return decodeQuarantine(reader.getQuarantineNews());
--- a/Source/Peer/edge.cpp
+++ b/Source/Peer/edge.cpp
@@ -154,7 +154,7 @@
         auto messages = decodeAll(context.getParams().getMessages());
         context.releaseParams();
         auto [token, returned] = m_returns.open(m_address, context);
-        m_handler(Received {m_from, m_incarnation, std::move(messages), token});
+        m_handler(MessagesReceived {m_from, m_incarnation, std::move(messages), token});
         return kj::mv(returned);
     }
 
@@ -346,7 +346,7 @@
                 return;
             }
             if (results.hasMessages()) {
-                m_handler(Received {m_peerName, m_peerIncarnation, decodeAll(results.getMessages()), 0});
+                m_handler(MessagesReceived {m_peerName, m_peerIncarnation, decodeAll(results.getMessages()), 0});
             }
             --m_inFlight;
             pump();
@@ -358,7 +358,7 @@
     {
         if (m_state != State::Idle || !m_queue.empty()) {
             Base::log(Base::LogLevel::Debug, Base::LogEvent::PeerLost, {{"address", m_address}, {"reason", why}});
-            m_handler(Lost {m_address});
+            m_handler(MessagesLost {m_address});
         }
         m_queue.clear();
         disconnect();
@@ -551,7 +551,7 @@
     m_implementation->give(Outgoing {std::move(address), std::move(message)});
 }
 
-void Edge::handled(std::uint64_t token)
+void Edge::markHandled(std::uint64_t token)
 {
     m_implementation->give(Handled {token});
 }
--- a/Source/Peer/edge.h
+++ b/Source/Peer/edge.h
@@ -22,7 +22,7 @@
 namespace Yokepond::Peer {
 
 /// Messages from a peer, in the order it sent them.
-struct Received
+struct MessagesReceived
 {
     std::string from;
     std::uint64_t incarnation = 0;
@@ -31,12 +31,12 @@
 };
 
 /// Messages to a peer may have been lost: the connection broke, could not be made, or its queue overflowed.
-struct Lost
+struct MessagesLost
 {
     std::string address; ///< ip:port
 };
 
-using Event = std::variant<Received, Lost>;
+using Event = std::variant<MessagesReceived, MessagesLost>;
 
 struct EdgeOptions
 {
@@ -68,7 +68,7 @@
 
     /// Tells that a Received has been handled: what has been sent to its peer meanwhile goes back with the call's return, which
     /// saves a call of its own.
-    void handled(std::uint64_t token);
+    void markHandled(std::uint64_t token);
 
     /// The port listened on.
     std::uint16_t port() const;
--- a/Source/Peer/message.h
+++ b/Source/Peer/message.h
@@ -57,7 +57,7 @@
 };
 
 /// Tells a dispatcher what a home knows of an endpoint by the endpoint's own answers.
-struct EndpointNews
+struct EndpointUpdate
 {
     std::uint32_t shard = 0;
     std::uint32_t endpoint = 0;
@@ -107,7 +107,7 @@
 };
 
 /// How a run ended, as its home saw it.
-enum class RunResult : std::uint8_t { Completed, NotStarted, Failed, Unreachable, Cancelled, Refused, AnsweredError, Gone };
+enum class RunResult : std::uint8_t { Completed, NotStarted, Failed, Unreachable, Cancelled, Rejected, ErrorResponse, Gone };
 
 inline constexpr Base::NameTable<RunResult, 8> runResultNames = {{
     {RunResult::Completed, "completed"},
@@ -115,8 +115,8 @@
     {RunResult::Failed, "failed"},
     {RunResult::Unreachable, "unreachable"},
     {RunResult::Cancelled, "cancelled"},
-    {RunResult::Refused, "refused"},
-    {RunResult::AnsweredError, "answered-error"},
+    {RunResult::Rejected, "refused"},
+    {RunResult::ErrorResponse, "answered-error"},
     {RunResult::Gone, "gone"},
 }};
 
@@ -293,11 +293,11 @@
     std::uint64_t work = 0;
     std::uint32_t round = 0; ///< grows each time that it is held
     bool held = false; ///< false: it has ended well since, and is harmless
-    Base::Duration firstEndingAge {}; ///< of the endings that were counted; sent in whole milliseconds
+    Base::Duration firstCrashAge {}; ///< of the endings that were counted; sent in whole milliseconds
     Base::Duration left {}; ///< until the belief ends; sent in whole milliseconds
 };
 
-struct QuarantineNews
+struct QuarantineUpdate
 {
     std::uint64_t digest = 0; ///< of all that the sender believes
     std::vector<QuarantineEntry> entries; ///< some of it, or all
@@ -305,7 +305,7 @@
 
 using Message = std::variant<Ask, Grant, Refusal, Withdrawal, Release, RunningReport, Probe, Acknowledgement, ChangesRequest,
                              Changes, Gather, Gathered, Forward, Forwarded, Queued, UsageCounts, UsageReceived, RunBroke,
-                             QuarantineNews, EndpointNews, FollowStore, FollowAnswer>;
+                             QuarantineUpdate, EndpointUpdate, FollowStore, FollowAnswer>;
 
 /// What a message is for; bytes on the wire are counted apart for each.
 enum class Traffic { Dispatch, Membership, Configuration, Query, Forwarding, Usage };
--- a/Source/Request/home.cpp
+++ b/Source/Request/home.cpp
@@ -52,7 +52,7 @@
 /// No time to come back: it would end the endpoint that runs it then.
 absl::Status heldError()
 {
-    return makeError(ErrorKind::EndsEndpoints, "endpoints ended while they ran this request; it is not run again for now");
+    return makeError(ErrorKind::CrashesEndpoints, "endpoints ended while they ran this request; it is not run again for now");
 }
 
 /// Whether the endpoint that the run was meant for may have seen something of it.
@@ -78,11 +78,11 @@
     case RunStage::NotSent:
         return RunResult::Unreachable;
     case RunStage::Refused:
-        return RunResult::Refused;
+        return RunResult::Rejected;
     case RunStage::Gone:
         return RunResult::Gone;
     case RunStage::Sent:
-        return report.status >= leastErrorStatus ? RunResult::AnsweredError : RunResult::Failed;
+        return report.status >= leastErrorStatus ? RunResult::ErrorResponse : RunResult::Failed;
     case RunStage::Whole:
         return RunResult::Completed;
     }
@@ -257,7 +257,7 @@
 
 void Home::beginRun(Instant now, Pending &pending, std::uint32_t endpoint, Instant startBy, std::uint32_t keeper)
 {
-    Base::require(pending.terms.repeatable || !pending.mayHaveRun, Base::Invariant::RunOnce);
+    Base::checkInvariant(pending.terms.repeatable || !pending.mayHaveRun, Base::Invariant::RunOnce);
     pending.phase = Phase::Running;
     pending.endpoint = endpoint;
     ++pending.runs;
@@ -373,7 +373,7 @@
 {
     m_actions.emplace_back(SendToMember {
         pending.dispatcher,
-        Peer::EndpointNews {pending.shard, endpoint, m_rates.of(endpoint).word(now), m_availabilities.of(endpoint).word(now)}});
+        Peer::EndpointUpdate {pending.shard, endpoint, m_rates.of(endpoint).word(now), m_availabilities.of(endpoint).word(now)}});
 }
 
 void Home::receive(Instant now, const std::string &from, const Peer::Refusal &refusal)
@@ -493,7 +493,7 @@
     enforceQuarantine(now);
 }
 
-void Home::receive(Instant now, const std::string &from, const Peer::QuarantineNews &news)
+void Home::receive(Instant now, const std::string &from, const Peer::QuarantineUpdate &news)
 {
     m_quarantine.receive(now, from, news);
     enforceQuarantine(now);
@@ -573,7 +573,7 @@
     if (pending == nullptr) {
         return;
     }
-    note(*pending, now, Step::CallerGone, {});
+    note(*pending, now, Step::CallerDisconnected, {});
     if (pending->phase == Phase::Running) {
         // The relay has cancelled the run, and its report follows.
         return;
--- a/Source/Request/home.h
+++ b/Source/Request/home.h
@@ -80,7 +80,7 @@
     void receive(Base::Instant now, const std::string &from, const Peer::Refusal &refusal);
     void receive(Base::Instant now, const std::string &from, const Peer::Queued &queued);
     void receive(Base::Instant now, const std::string &from, const Peer::RunBroke &broke);
-    void receive(Base::Instant now, const std::string &from, const Peer::QuarantineNews &news);
+    void receive(Base::Instant now, const std::string &from, const Peer::QuarantineUpdate &news);
 
     /// The answer of a run at @p endpoint has begun and says @p stated of it.
     void endpointStated(Base::Instant now, const Peer::AttemptId &id, std::uint32_t endpoint, const EndpointStatement &stated);
--- a/Source/Request/quarantine.cpp
+++ b/Source/Request/quarantine.cpp
@@ -188,7 +188,7 @@
     m_newlyHeld.push_back(work);
     std::vector<std::uint32_t> endpoints;
     std::ranges::transform(suspicion.endings, std::back_inserter(endpoints), &Ending::endpoint);
-    Base::log(Base::LogLevel::Warning, Base::LogEvent::WorkHeld,
+    Base::log(Base::LogLevel::Warning, Base::LogEvent::WorkQuarantined,
               {{"work", Base::hexadecimal(work)},
                {"round", entry.round},
                {"endpoints", endpoints},
@@ -217,7 +217,7 @@
     return news.round > known.round || cleared;
 }
 
-void Quarantine::receive(Instant now, const std::string &from, const Peer::QuarantineNews &news)
+void Quarantine::receive(Instant now, const std::string &from, const Peer::QuarantineUpdate &news)
 {
     std::ranges::for_each(news.entries, [&](const Peer::QuarantineEntry &entry) { take(now, from, entry); });
     if (news.digest != digest() && now - m_lastAnswer >= answerPause) {
@@ -233,7 +233,7 @@
         return;
     }
     Entry &entry = m_entries[news.work];
-    entry = {news.round, news.held, now - news.firstEndingAge, now + std::min(news.left, heldFor)};
+    entry = {news.round, news.held, now - news.firstCrashAge, now + std::min(news.left, heldFor)};
     if (!news.held) {
         forget(news.work);
         std::erase(m_newlyHeld, news.work);
@@ -242,11 +242,11 @@
         dropOld(now);
         return;
     }
-    Base::log(Base::LogLevel::Warning, Base::LogEvent::WorkHeld,
+    Base::log(Base::LogLevel::Warning, Base::LogEvent::WorkQuarantined,
               {{"work", Base::hexadecimal(news.work)},
                {"round", news.round},
                {"from", from},
-               {"first-s-ago", Base::seconds(news.firstEndingAge)},
+               {"first-s-ago", Base::seconds(news.firstCrashAge)},
                {"for-s", Base::seconds(news.left)}});
     ++m_counters.held;
     if (endsWell(news.work, entry.firstEnding)) {
@@ -262,9 +262,9 @@
     return {work, entry.round, entry.held, now - entry.firstEnding, entry.until - now};
 }
 
-Peer::QuarantineNews Quarantine::everything(Instant now) const
+Peer::QuarantineUpdate Quarantine::everything(Instant now) const
 {
-    Peer::QuarantineNews news {digest(), {}};
+    Peer::QuarantineUpdate news {digest(), {}};
     std::ranges::transform(m_entries, std::back_inserter(news.entries),
                            [&](const auto &entry) { return describe(now, entry.first, entry.second); });
     return news;
@@ -274,13 +274,13 @@
 {
     return std::accumulate(m_entries.begin(), m_entries.end(), std::uint64_t {0}, [](std::uint64_t sum, const auto &entry) {
         const std::uint64_t state = std::uint64_t {entry.second.round} * 2 + (entry.second.held ? 1 : 0);
-        return sum ^ Base::mixed(entry.first, state);
+        return sum ^ Base::combineHashes(entry.first, state);
     });
 }
 
 void Quarantine::tellAll(Instant now, std::uint64_t work)
 {
-    const Peer::QuarantineNews news {digest(), {describe(now, work, m_entries.at(work))}};
+    const Peer::QuarantineUpdate news {digest(), {describe(now, work, m_entries.at(work))}};
     for (const Peer::Member &member : m_members) {
         if (member.name != m_self) {
             m_messages.push_back({member.name, news});
@@ -297,7 +297,7 @@
     if (m_members[m_nextMember].name == m_self) {
         m_nextMember = (m_nextMember + 1) % m_members.size();
     }
-    m_messages.push_back({m_members[m_nextMember].name, Peer::QuarantineNews {digest(), {}}});
+    m_messages.push_back({m_members[m_nextMember].name, Peer::QuarantineUpdate {digest(), {}}});
     m_nextNews = now + newsPeriod;
 }
 
--- a/Source/Request/quarantine.h
+++ b/Source/Request/quarantine.h
@@ -61,7 +61,7 @@
     bool release(Base::Instant now, std::uint64_t work);
 
     void receive(Base::Instant now, const std::string &from, const Peer::RunBroke &broke);
-    void receive(Base::Instant now, const std::string &from, const Peer::QuarantineNews &news);
+    void receive(Base::Instant now, const std::string &from, const Peer::QuarantineUpdate &news);
 
     void tick(Base::Instant now);
 
@@ -106,7 +106,7 @@
     void tellAll(Base::Instant now, std::uint64_t work);
     void tellNext(Base::Instant now);
     Peer::QuarantineEntry describe(Base::Instant now, std::uint64_t work, const Entry &entry) const;
-    Peer::QuarantineNews everything(Base::Instant now) const;
+    Peer::QuarantineUpdate everything(Base::Instant now) const;
     std::uint64_t digest() const;
     void dropOld(Base::Instant now);
 
--- a/Source/Request/types.h
+++ b/Source/Request/types.h
@@ -130,7 +130,7 @@
     LocalWindow,
     Failed,
     Withdrawn,
-    CallerGone
+    CallerDisconnected
 };
 
 inline constexpr Base::NameTable<Step, 14> stepNames = {{
@@ -147,7 +147,7 @@
     {Step::LocalWindow, "local-window"},
     {Step::Failed, "failed"},
     {Step::Withdrawn, "withdrawn"},
-    {Step::CallerGone, "caller-gone"},
+    {Step::CallerDisconnected, "caller-gone"},
 }};
 
 struct TraceEntry
--- a/Source/Scaling/scaler.cpp
+++ b/Source/Scaling/scaler.cpp
@@ -150,7 +150,7 @@
         m_neededSince.reset();
         return {};
     }
-    if (m_options.dry) {
+    if (m_options.dryRun) {
         for (const Order &order : wanted) {
             m_sent.push_back({order, now});
             Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointsOrdered,
@@ -170,9 +170,9 @@
     }
     std::optional<ScalerAction> action;
     const auto fence = m_lease.fence(now);
-    const Duration within = m_lease.timeToAct(now);
-    if (fence && within >= leastOrderTime) {
-        action = SendOrder {*fence, wanted.front(), within};
+    const Duration timeout = m_lease.timeToAct(now);
+    if (fence && timeout >= leastOrderTime) {
+        action = SendOrder {*fence, wanted.front(), timeout};
     } else if (m_lease.mayWrite(now)) {
         m_lease.writing(now);
         action = WriteRow {m_lease.expectedVersion(), rowText({m_incarnation, m_host, m_bases})};
@@ -211,7 +211,7 @@
     }
 }
 
-void Scaler::rowRead(Instant now, const std::optional<Lease::StoredRow> &row)
+void Scaler::onRowRead(Instant now, const std::optional<Lease::StoredRow> &row)
 {
     m_busy = false;
     if (row) {
@@ -219,7 +219,7 @@
     }
 }
 
-void Scaler::rowWritten(Instant now, WriteResult result, std::uint64_t version, const std::optional<Lease::StoredRow> &row)
+void Scaler::onRowWritten(Instant now, WriteResult result, std::uint64_t version, const std::optional<Lease::StoredRow> &row)
 {
     m_busy = false;
     m_lease.written(result, version);
@@ -239,7 +239,7 @@
     }
 }
 
-void Scaler::ordered(Instant now, const Order &order, OrderResult result)
+void Scaler::onOrdered(Instant now, const Order &order, OrderResult result)
 {
     m_busy = false;
     if (result == OrderResult::TryAgain) {
--- a/Source/Scaling/scaler.h
+++ b/Source/Scaling/scaler.h
@@ -60,7 +60,7 @@
 {
     std::uint64_t fence = 0;
     Order order;
-    Base::Duration within {};
+    Base::Duration timeout {};
 };
 
 using ScalerAction = std::variant<ReadRow, WriteRow, SendOrder>;
@@ -90,7 +90,7 @@
 struct ScalerOptions
 {
     Lease::LeaseTerms lease;
-    bool dry = false; ///< only tells what it would order
+    bool dryRun = false; ///< only tells what it would order
 };
 
 /// Pure state machine: one on each host.
@@ -105,10 +105,10 @@
                                    bool idle);
 
     /// Version 0: there is no row; nothing: the store did not answer.
-    void rowRead(Base::Instant now, const std::optional<Lease::StoredRow> &row);
-    void rowWritten(Base::Instant now, Lease::WriteResult result, std::uint64_t version,
-                    const std::optional<Lease::StoredRow> &row);
-    void ordered(Base::Instant now, const Order &order, OrderResult result);
+    void onRowRead(Base::Instant now, const std::optional<Lease::StoredRow> &row);
+    void onRowWritten(Base::Instant now, Lease::WriteResult result, std::uint64_t version,
+                      const std::optional<Lease::StoredRow> &row);
+    void onOrdered(Base::Instant now, const Order &order, OrderResult result);
 
     bool isHolder() const;
     ScalerView view(Base::Instant now) const;
--- a/Source/Standin/engine.h
+++ b/Source/Standin/engine.h
@@ -103,8 +103,8 @@
     std::map<std::string, RunPointer> m_byRequest;
     std::uint64_t m_nextOrder = 1;
     std::uint64_t m_tokens = 0; ///< generated since the start
-    std::unique_ptr<Base::Loop::Timer> m_step;
-    std::unique_ptr<Base::Loop::Timer> m_publish;
+    std::unique_ptr<Base::Loop::Registration> m_step;
+    std::unique_ptr<Base::Loop::Registration> m_publish;
     nlohmann::json m_publishedLoad; ///< what GET /load shows: older than the truth by the lag
     std::deque<nlohmann::json> m_cacheEvents; ///< published late, some are lost
 };
--- a/Source/Standin/platform.h
+++ b/Source/Standin/platform.h
@@ -70,7 +70,7 @@
     std::uint64_t m_reads = 0;
     std::uint64_t m_writes = 0;
     std::uint64_t m_nextDelay = 1;
-    std::map<std::uint64_t, std::unique_ptr<Base::Loop::Timer>> m_delayed;
+    std::map<std::uint64_t, std::unique_ptr<Base::Loop::Registration>> m_delayed;
 };
 
 } // namespace Yokepond::Standin
--- a/Source/Standin/service.h
+++ b/Source/Standin/service.h
@@ -48,7 +48,7 @@
         std::shared_ptr<Http::Exchange> exchange;
         std::size_t logIndex = 0;
         std::string key;
-        std::unique_ptr<Base::Loop::Timer> timer;
+        std::unique_ptr<Base::Loop::Registration> timer;
     };
 
     Base::Loop &m_loop;
--- a/Source/Usage/usagecounts.cpp
+++ b/Source/Usage/usagecounts.cpp
@@ -41,7 +41,7 @@
     return entries;
 }
 
-void HostCounts::forgetBefore(WindowNumber present)
+void HostCounts::removeExpired(WindowNumber present)
 {
     std::erase_if(m_windows, [&](const auto &entry) { return entry.first + keptWindows < present; });
 }
@@ -51,8 +51,8 @@
     m_windows.clear();
 }
 
-void FleetCounts::take(Base::Instant now, const std::string &host, std::uint64_t incarnation, Base::Duration clockOffset,
-                       const std::vector<Peer::UsageEntry> &entries)
+void FleetCounts::update(Base::Instant now, const std::string &host, std::uint64_t incarnation, Base::Duration clockOffset,
+                         const std::vector<Peer::UsageEntry> &entries)
 {
     Told &told = m_told[{host, incarnation}];
     told.heard = now;
@@ -92,13 +92,13 @@
     return medianOffset(offsets);
 }
 
-std::size_t FleetCounts::hosts(Base::Instant now) const
+std::size_t FleetCounts::recentHosts(Base::Instant now) const
 {
     return static_cast<std::size_t>(
         std::ranges::count_if(m_told | std::views::values, [&](const Told &told) { return now - told.heard <= lately; }));
 }
 
-void FleetCounts::forgetBefore(WindowNumber present)
+void FleetCounts::removeExpired(WindowNumber present)
 {
     for (Told &told : m_told | std::views::values) {
         std::erase_if(told.windows, [&](const auto &entry) { return entry.first + keptWindows < present; });
--- a/Source/Usage/usagecounts.h
+++ b/Source/Usage/usagecounts.h
@@ -38,7 +38,7 @@
     std::vector<Peer::UsageEntry> entries(WindowNumber fixedUpTo) const;
 
     /// Drops windows that are too old to be asked for at @p present.
-    void forgetBefore(WindowNumber present);
+    void removeExpired(WindowNumber present);
 
     /// The host's clock was moved: its windows are not the fleet's.
     void clear();
@@ -52,8 +52,8 @@
 {
 public:
     /// @p clockOffset: the host's clock less the collector's.
-    void take(Base::Instant now, const std::string &host, std::uint64_t incarnation, Base::Duration clockOffset,
-              const std::vector<Peer::UsageEntry> &entries);
+    void update(Base::Instant now, const std::string &host, std::uint64_t incarnation, Base::Duration clockOffset,
+                const std::vector<Peer::UsageEntry> &entries);
 
     WindowCounts total(WindowNumber window) const;
 
@@ -61,9 +61,9 @@
     Base::Duration clockOffset(Base::Instant now) const;
 
     /// Hosts that were heard of lately.
-    std::size_t hosts(Base::Instant now) const;
+    std::size_t recentHosts(Base::Instant now) const;
 
-    void forgetBefore(WindowNumber present);
+    void removeExpired(WindowNumber present);
 
 private:
     struct Told
--- a/Source/Usage/usagereporter.cpp
+++ b/Source/Usage/usagereporter.cpp
@@ -89,12 +89,12 @@
 std::optional<ReporterAction> UsageReporter::report(Instant now)
 {
     const auto fence = m_lease.fence(now);
-    const Duration within = m_lease.timeToAct(now);
+    const Duration timeout = m_lease.timeToAct(now);
     const auto next = std::ranges::find_if(m_pending, [](const Pending &pending) { return !pending.reported; });
-    if (!fence || within < leastReportTime || next == m_pending.end()) {
+    if (!fence || timeout < leastReportTime || next == m_pending.end()) {
         return std::nullopt;
     }
-    return ReportUsage {*fence, next->fixed, within};
+    return ReportUsage {*fence, next->fixed, timeout};
 }
 
 /// Renews the right to act, and fixes the windows that are due by now.
@@ -150,7 +150,7 @@
     m_pending = std::move(pending);
 }
 
-void UsageReporter::rowRead(Instant now, const std::optional<Lease::StoredRow> &row)
+void UsageReporter::onRowRead(Instant now, const std::optional<Lease::StoredRow> &row)
 {
     m_busy = false;
     if (row) {
@@ -158,7 +158,8 @@
     }
 }
 
-void UsageReporter::rowWritten(Instant now, WriteResult result, std::uint64_t version, const std::optional<Lease::StoredRow> &row)
+void UsageReporter::onRowWritten(Instant now, WriteResult result, std::uint64_t version,
+                                 const std::optional<Lease::StoredRow> &row)
 {
     m_busy = false;
     m_lease.written(result, version);
@@ -179,7 +180,7 @@
     }
 }
 
-void UsageReporter::reported(Instant now, WindowNumber window, ReportResult result)
+void UsageReporter::onReported(Instant now, WindowNumber window, ReportResult result)
 {
     m_busy = false;
     const auto pending = std::ranges::find(m_pending, window, [](const Pending &entry) { return entry.fixed.window; });
@@ -193,7 +194,7 @@
     m_reportedUpTo = std::max(m_reportedUpTo, window);
 }
 
-void UsageReporter::heardFixed(WindowNumber window)
+void UsageReporter::updateFixedUpTo(WindowNumber window)
 {
     m_heardUpTo = std::max(m_heardUpTo, window);
     m_fixedUpTo = std::max(m_fixedUpTo, window);
--- a/Source/Usage/usagereporter.h
+++ b/Source/Usage/usagereporter.h
@@ -43,7 +43,7 @@
 {
     std::uint64_t fence = 0;
     FixedWindow usage;
-    Base::Duration within {};
+    Base::Duration timeout {};
 };
 
 using ReporterAction = std::variant<ReadRow, WriteRow, ReportUsage>;
@@ -77,14 +77,14 @@
     std::vector<ReporterAction> tick(Base::Instant now, FleetTime time, std::optional<std::size_t> rank,
                                      const FleetCounts &counts);
 
-    void rowRead(Base::Instant now, const std::optional<Lease::StoredRow> &row);
+    void onRowRead(Base::Instant now, const std::optional<Lease::StoredRow> &row);
     /// @p row: where the write was refused.
-    void rowWritten(Base::Instant now, Lease::WriteResult result, std::uint64_t version,
-                    const std::optional<Lease::StoredRow> &row);
-    void reported(Base::Instant now, WindowNumber window, ReportResult result);
+    void onRowWritten(Base::Instant now, Lease::WriteResult result, std::uint64_t version,
+                      const std::optional<Lease::StoredRow> &row);
+    void onReported(Base::Instant now, WindowNumber window, ReportResult result);
 
     /// Another host says how far it has fixed windows.
-    void heardFixed(WindowNumber window);
+    void updateFixedUpTo(WindowNumber window);
 
     WindowNumber fixedUpTo() const;
     bool isHolder() const;
--- a/Tests/Dispatch/shardtest.cpp
+++ b/Tests/Dispatch/shardtest.cpp
@@ -268,7 +268,7 @@
 TEST(Shard, anEndpointThatIsMerelyFullGetsMore)
 {
     ask("alert", 0);
-    release(replies<Peer::Grant>().front(), 0.1, Peer::RunResult::Refused);
+    release(replies<Peer::Grant>().front(), 0.1, Peer::RunResult::Rejected);
     for (int index = 0; index < 4; ++index) {
         ask("alert", 0.2);
     }
@@ -492,7 +492,7 @@
     void turnAway(std::string_view name, double now, Base::Duration rest, const Home &of)
     {
         shard->hearEndpoint(at(now), of, {1, endpoint(name), {}, {.restsFor = rest}});
-        shard->release(at(now), of, {{next++, 1}, 1, endpoint(name), Peer::RunResult::Refused});
+        shard->release(at(now), of, {{next++, 1}, 1, endpoint(name), Peer::RunResult::Rejected});
     }
 
     std::set<std::uint32_t> granted()
--- a/Tests/Node/answerstest.cpp
+++ b/Tests/Node/answerstest.cpp
@@ -27,7 +27,7 @@
 /// have; no time to come back is named.
 TEST(Answers, workThatIsHeldIsToldTrulyAndInvitesNoReturn)
 {
-    const absl::Status held = Base::makeError(ErrorKind::EndsEndpoints, "why");
+    const absl::Status held = Base::makeError(ErrorKind::CrashesEndpoints, "why");
     CHECK_EQUAL(503, Node::statusByOutcome(held, Outcome::NotRun));
     CHECK_EQUAL(502, Node::statusByOutcome(held, Outcome::Unknown));
     const Http::Response response = Node::errorResponse(held, Outcome::NotRun, "r1", {});
--- a/Tests/Node/sitewatchtest.cpp
+++ b/Tests/Node/sitewatchtest.cpp
@@ -117,7 +117,7 @@
 
 TEST(SiteWatch, readsAnewWhenTheHistoryIsGoneAndTellsWhatIsMissing)
 {
-    failAfterTwoAreKnown(Base::ErrorKind::HistoryGone);
+    failAfterTwoAreKnown(Base::ErrorKind::HistoryCompacted);
     tickAfter(std::chrono::seconds(2));
     CHECK_TRUE(feed.calls[endpoint]->whole);
     told.clear();
--- a/Tests/Peer/codectest.cpp
+++ b/Tests/Peer/codectest.cpp
@@ -61,27 +61,27 @@
 
 TEST(Codec, rateNewsKeepAllFieldsAndWhatIsNoRateIsNone)
 {
-    const EndpointNews news {5, 8, {Yokepond::Rate::Knowledge::Unlimited, 0, milliseconds(17)}};
-    const EndpointNews got = roundTrip(news);
+    const EndpointUpdate news {5, 8, {Yokepond::Rate::Knowledge::Unlimited, 0, milliseconds(17)}};
+    const EndpointUpdate got = roundTrip(news);
     CHECK_TRUE(got.shard == 5 && got.endpoint == 8 && got.rate.knowledge == news.rate.knowledge && got.rate.age == news.rate.age);
     for (const double perSecond : {-1.0, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity()}) {
-        const EndpointNews malformed {5, 8, {Yokepond::Rate::Knowledge::Limited, perSecond, {}}};
+        const EndpointUpdate malformed {5, 8, {Yokepond::Rate::Knowledge::Limited, perSecond, {}}};
         CHECK_TRUE(roundTrip(malformed).rate.knowledge == Yokepond::Rate::Knowledge::Unknown);
     }
-    const EndpointNews huge {5, 8, {Yokepond::Rate::Knowledge::Limited, 1e12, {}}};
+    const EndpointUpdate huge {5, 8, {Yokepond::Rate::Knowledge::Limited, 1e12, {}}};
     DOUBLES_EQUAL(Yokepond::Rate::largestRate, roundTrip(huge).rate.perSecond, 1e-9);
 }
 
 TEST(Codec, whatEndpointsSayOfLeavingAndRestIsKept)
 {
-    const EndpointNews news {5, 8, {}, {std::chrono::seconds(600), milliseconds(2750)}};
-    const EndpointNews got = roundTrip(news);
+    const EndpointUpdate news {5, 8, {}, {std::chrono::seconds(600), milliseconds(2750)}};
+    const EndpointUpdate got = roundTrip(news);
     CHECK_TRUE(got.rate.knowledge == Yokepond::Rate::Knowledge::Unknown);
     CHECK_TRUE(got.availability.leavesFor == std::chrono::seconds(600) && got.availability.restsFor == milliseconds(2750));
     // What is left must not end before its time.
-    const EndpointNews fraction {5, 8, {}, {{}, std::chrono::microseconds(1)}};
+    const EndpointUpdate fraction {5, 8, {}, {{}, std::chrono::microseconds(1)}};
     CHECK_TRUE(roundTrip(fraction).availability.restsFor == milliseconds(1));
-    CHECK_TRUE(roundTrip(EndpointNews {}).availability.leavesFor == milliseconds(0));
+    CHECK_TRUE(roundTrip(EndpointUpdate {}).availability.leavesFor == milliseconds(0));
 }
 
 TEST(Codec, releaseKeepsAllFields)
@@ -130,16 +130,16 @@
 {
     const RunBroke broke = roundTrip(RunBroke {0xfedcba9876543210U, 17, true});
     CHECK_TRUE(broke.work == 0xfedcba9876543210U && broke.endpoint == 17 && broke.justBegan);
-    const QuarantineNews news {
+    const QuarantineUpdate news {
         99, {{5, 2, true, milliseconds(1200), milliseconds(600'000)}, {6, 1, false, milliseconds(1), milliseconds(2)}}};
-    const QuarantineNews got = roundTrip(news);
+    const QuarantineUpdate got = roundTrip(news);
     CHECK_EQUAL(news.digest, got.digest);
     CHECK_EQUAL(2U, got.entries.size());
     for (std::size_t index = 0; index < got.entries.size(); ++index) {
         const QuarantineEntry &sent = news.entries[index];
         const QuarantineEntry &entry = got.entries[index];
         CHECK_TRUE(entry.work == sent.work && entry.round == sent.round && entry.held == sent.held);
-        CHECK_TRUE(entry.firstEndingAge == sent.firstEndingAge && entry.left == sent.left);
+        CHECK_TRUE(entry.firstCrashAge == sent.firstCrashAge && entry.left == sent.left);
     }
 }
 
--- a/Tests/Peer/edgetest.cpp
+++ b/Tests/Peer/edgetest.cpp
@@ -19,14 +19,14 @@
 {
     std::atomic<int> received = 0;
     auto still = Edge::start({{"127.0.0.1", 0}, "127.0.0.1:1", "still", 1}, [&](const Event &event) {
-        if (std::holds_alternative<Received>(event)) {
+        if (std::holds_alternative<MessagesReceived>(event)) {
             ++received;
         }
     });
     CHECK_TRUE(still.ok());
     std::atomic<int> lost = 0;
     auto sender = Edge::start({{"127.0.0.1", 0}, "127.0.0.1:2", "sender", 2}, [&](const Event &event) {
-        if (std::holds_alternative<Lost>(event)) {
+        if (std::holds_alternative<MessagesLost>(event)) {
             ++lost;
         }
     });
--- a/Tests/Request/fleetload.h
+++ b/Tests/Request/fleetload.h
@@ -498,7 +498,7 @@
             const auto call = m_calls.find(fail->request);
             const bool ordinary = call != m_calls.end() && !m_streams[call->second.stream].endsEngines;
             m_counts.othersRefused += notRun && ordinary ? 1 : 0;
-            const bool held = Base::errorKind(fail->error) == Base::ErrorKind::EndsEndpoints;
+            const bool held = Base::errorKind(fail->error) == Base::ErrorKind::CrashesEndpoints;
             m_counts.othersHeld += held && ordinary ? 1 : 0;
             m_calls.erase(fail->request);
         }
--- a/Tests/Request/hometest.cpp
+++ b/Tests/Request/hometest.cpp
@@ -371,7 +371,7 @@
     grant(lastAsk(), 0.1, 2);
     startWork(2);
     home.takeActions();
-    const Peer::QuarantineNews news {0, {{work, 1, true, std::chrono::seconds(1), std::chrono::seconds(60)}}};
+    const Peer::QuarantineUpdate news {0, {{work, 1, true, std::chrono::seconds(1), std::chrono::seconds(60)}}};
     home.receive(at(0.2), "h2", news);
     std::vector<Action> actions = home.takeActions();
     const auto count = [&]<typename Wanted>(Wanted *) {
@@ -381,7 +381,7 @@
     CHECK_EQUAL(2, count(static_cast<Fail *>(nullptr)));
     for (const Action &action : actions) {
         if (const auto *fail = std::get_if<Fail>(&action)) {
-            CHECK_TRUE(Base::errorKind(fail->error) == Base::ErrorKind::EndsEndpoints);
+            CHECK_TRUE(Base::errorKind(fail->error) == Base::ErrorKind::CrashesEndpoints);
             CHECK_TRUE(fail->outcome == (fail->request == 1 ? Outcome::Unknown : Outcome::NotRun));
             CHECK_TRUE(fail->retryAfter == Base::Duration::zero());
         }
@@ -446,11 +446,11 @@
         return ask;
     }
 
-    std::vector<Peer::EndpointNews> told()
+    std::vector<Peer::EndpointUpdate> told()
     {
-        std::vector<Peer::EndpointNews> found;
+        std::vector<Peer::EndpointUpdate> found;
         for (const SendToMember &sent : actions<SendToMember>()) {
-            if (const auto *message = std::get_if<Peer::EndpointNews>(&sent.message)) {
+            if (const auto *message = std::get_if<Peer::EndpointUpdate>(&sent.message)) {
                 found.push_back(*message);
             }
         }
@@ -493,7 +493,7 @@
     for (const Action &action : home.takeActions()) {
         runs += std::holds_alternative<StartRun>(action) ? 1 : 0;
         if (const auto *sent = std::get_if<SendToMember>(&action)) {
-            news += std::holds_alternative<Peer::EndpointNews>(sent->message) ? 1 : 0;
+            news += std::holds_alternative<Peer::EndpointUpdate>(sent->message) ? 1 : 0;
             const auto *release = std::get_if<Peer::Release>(&sent->message);
             releases += release != nullptr && release->result == Peer::RunResult::NotStarted ? 1 : 0;
             if (const auto *ask = std::get_if<Peer::Ask>(&sent->message)) {
--- a/Tests/Request/quarantinetest.cpp
+++ b/Tests/Request/quarantinetest.cpp
@@ -116,7 +116,7 @@
                     if (const auto *broke = std::get_if<Peer::RunBroke>(&sent.message)) {
                         receiver->second->receive(at(now), name, *broke);
                     } else {
-                        receiver->second->receive(at(now), name, std::get<Peer::QuarantineNews>(sent.message));
+                        receiver->second->receive(at(now), name, std::get<Peer::QuarantineUpdate>(sent.message));
                     }
                 }
             }
--- a/Tests/Scaling/scalertest.cpp
+++ b/Tests/Scaling/scalertest.cpp
@@ -38,11 +38,12 @@
 
 } // namespace
 
-TEST_GROUP(ScalingPlan) {/// The number ordered, or -1 for none.
-                         static int ordered(const std::vector<Order> &orders, const std::string &dataCentre, bool preemptible) {
-                             const auto order = std::ranges::find_if(orders, [&](const Order &entry) {
-                                 return entry.dataCentre == dataCentre && entry.preemptible == preemptible;
-                             });
+TEST_GROUP(ScalingPlan) {
+    /// The number ordered, or -1 for none.
+    static int countOrdered(const std::vector<Order> &orders, const std::string &dataCentre,
+                            bool preemptible) {const auto order = std::ranges::find_if(orders, [&](const Order &entry) {
+                                                   return entry.dataCentre == dataCentre && entry.preemptible == preemptible;
+                                               });
 return order == orders.end() ? -1 : static_cast<int>(order->count);
 }
 }
@@ -52,16 +53,16 @@
 TEST(ScalingPlan, theLossOfOneDataCentresPreemptibleEnginesIsBorne)
 {
     const auto orders = planFor(atStart(), base);
-    CHECK_EQUAL(45, ordered(orders, "a", true));
-    CHECK_EQUAL(45, ordered(orders, "b", true));
-    CHECK_EQUAL(45, ordered(orders, "c", true));
+    CHECK_EQUAL(45, countOrdered(orders, "a", true));
+    CHECK_EQUAL(45, countOrdered(orders, "b", true));
+    CHECK_EQUAL(45, countOrdered(orders, "c", true));
 }
 
 TEST(ScalingPlan, regularEnginesGoOnlyWhenThePreemptibleOnesServe)
 {
-    CHECK_EQUAL(-1, ordered(planFor(atStart(), base), "a", false));
-    CHECK_EQUAL(-1, ordered(planFor(pool({{"a", 30, 45}, {"b", 30, 30}, {"c", 30, 0}}), base), "a", false));
-    CHECK_EQUAL(1, ordered(planFor(pool({{"a", 30, 45}, {"b", 30, 45}, {"c", 30, 45}}), base), "a", false));
+    CHECK_EQUAL(-1, countOrdered(planFor(atStart(), base), "a", false));
+    CHECK_EQUAL(-1, countOrdered(planFor(pool({{"a", 30, 45}, {"b", 30, 30}, {"c", 30, 0}}), base), "a", false));
+    CHECK_EQUAL(1, countOrdered(planFor(pool({{"a", 30, 45}, {"b", 30, 45}, {"c", 30, 45}}), base), "a", false));
 }
 
 /// The limit of 60 counts both kinds: beside 30 regular engines no more than 30 others come. Half of the regular ones make room
@@ -69,29 +70,29 @@
 TEST(ScalingPlan, regularEnginesMakeRoomForTheReserveBeforeTheyGo)
 {
     const auto orders = planFor(pool({{"a", 30, 30}, {"b", 30, 30}, {"c", 30, 30}}), base);
-    CHECK_EQUAL(45, ordered(orders, "a", true));
-    CHECK_EQUAL(15, ordered(orders, "a", false));
+    CHECK_EQUAL(45, countOrdered(orders, "a", true));
+    CHECK_EQUAL(15, countOrdered(orders, "a", false));
     // Once few are left, none come back for it.
-    CHECK_EQUAL(1, ordered(planFor(pool({{"a", 1, 45}, {"b", 1, 45}, {"c", 1, 0}}), base), "a", false));
+    CHECK_EQUAL(1, countOrdered(planFor(pool({{"a", 1, 45}, {"b", 1, 45}, {"c", 1, 0}}), base), "a", false));
 }
 
 TEST(ScalingPlan, theLossOfOneDataCentreBringsNoRegularEnginesBack)
 {
-    CHECK_EQUAL(1, ordered(planFor(pool({{"a", 1, 0}, {"b", 1, 45}, {"c", 1, 45}}), base), "a", false));
+    CHECK_EQUAL(1, countOrdered(planFor(pool({{"a", 1, 0}, {"b", 1, 45}, {"c", 1, 45}}), base), "a", false));
 }
 
 TEST(ScalingPlan, regularEnginesComeBackWherePreemptibleOnesCannotBeHad)
 {
     const auto orders = planFor(pool({{"a", 1, 0}, {"b", 1, 0}, {"c", 1, 45}}), base);
-    CHECK_EQUAL(30, ordered(orders, "a", false));
-    CHECK_EQUAL(30, ordered(orders, "c", false));
+    CHECK_EQUAL(30, countOrdered(orders, "a", false));
+    CHECK_EQUAL(30, countOrdered(orders, "c", false));
 }
 
 TEST(ScalingPlan, theLimitCountsBothKinds)
 {
     ScaledPool large = atStart();
     large.terms.most = 40;
-    CHECK_EQUAL(39, ordered(planFor(large, base), "a", true));
+    CHECK_EQUAL(39, countOrdered(planFor(large, base), "a", true));
 }
 
 TEST(ScalingPlan, wherePreemptibleEnginesSaveNothingTheNumbersStay)
@@ -119,10 +120,10 @@
     {
         CHECK_TRUE(tick(0, seen).empty());
         CHECK_TRUE(std::holds_alternative<ReadRow>(tick(2, seen).front()));
-        scaler.rowRead(at(2), Lease::StoredRow {});
+        scaler.onRowRead(at(2), Lease::StoredRow {});
         const auto actions = tick(2.05, seen);
         CHECK_EQUAL(0U, std::get<WriteRow>(actions.front()).expectedVersion);
-        scaler.rowWritten(at(2.1), WriteResult::Done, 40, std::nullopt);
+        scaler.onRowWritten(at(2.1), WriteResult::Done, 40, std::nullopt);
     }
 
     Order send(double now, const ScaledPool &seen, bool idle = true, OrderResult result = OrderResult::Accepted)
@@ -130,7 +131,7 @@
         const auto actions = tick(now, seen, idle);
         CHECK_EQUAL(1U, actions.size());
         const SendOrder order = std::get<SendOrder>(actions.front());
-        scaler.ordered(at(now), order.order, result);
+        scaler.onOrdered(at(now), order.order, result);
         return order.order;
     }
 };
@@ -143,7 +144,7 @@
     CHECK_EQUAL(40U, first.fence);
     CHECK_EQUAL(45U, first.order.count);
     CHECK_TRUE(first.order.preemptible);
-    CHECK_TRUE(first.within <= std::chrono::seconds(2));
+    CHECK_TRUE(first.timeout <= std::chrono::seconds(2));
 }
 
 TEST(Scaler, eachOrderIsSentOnceAndRepeatedWhenItsEnginesDoNotCome)
@@ -156,7 +157,7 @@
     CHECK_TRUE(tick(11.0, atStart()).empty());
     // The right has run out: it is renewed before anything is sent.
     CHECK_TRUE(std::holds_alternative<WriteRow>(tick(12.5, atStart()).front()));
-    scaler.rowWritten(at(12.6), WriteResult::Done, 55, std::nullopt);
+    scaler.onRowWritten(at(12.6), WriteResult::Done, 55, std::nullopt);
     const auto actions = tick(12.65, atStart());
     CHECK_EQUAL(40U, std::get<SendOrder>(actions.front()).fence);
 }
@@ -187,11 +188,11 @@
     const ScaledPool both = pool({{"a", 1, 45}, {"b", 1, 45}, {"c", 1, 20}});
     CHECK_TRUE(tick(0, both).empty());
     CHECK_TRUE(std::holds_alternative<ReadRow>(tick(2, both).front()));
-    scaler.rowRead(at(2), Lease::StoredRow {50, rowText({8, "h2", {{"llm", 90}}})});
+    scaler.onRowRead(at(2), Lease::StoredRow {50, rowText({8, "h2", {{"llm", 90}}})});
     // Another held it: its right may last.
     CHECK_TRUE(tick(2.1, both).empty());
     CHECK_TRUE(std::holds_alternative<ReadRow>(tick(4.2, both).front()));
-    scaler.rowRead(at(4.2), Lease::StoredRow {50, rowText({8, "h2", {{"llm", 90}}})});
+    scaler.onRowRead(at(4.2), Lease::StoredRow {50, rowText({8, "h2", {{"llm", 90}}})});
     const auto actions = tick(5.6, both);
     CHECK_EQUAL(50U, std::get<WriteRow>(actions.front()).expectedVersion);
     CHECK_TRUE(parseScalingRow(std::get<WriteRow>(actions.front()).value)->bases == (std::vector<PoolBase> {{"llm", 90}}));
--- a/Tests/Usage/usagecountstest.cpp
+++ b/Tests/Usage/usagecountstest.cpp
@@ -25,9 +25,9 @@
 TEST(UsageCounts, aHostsCountsReplaceWhatItToldBefore)
 {
     FleetCounts fleet;
-    fleet.take(at(0), "h1", 1, {}, {{9, "small", 3}});
-    fleet.take(at(1), "h1", 1, {}, {{9, "small", 5}, {10, "small", 1}});
-    fleet.take(at(1), "h2", 1, {}, {{9, "small", 2}, {9, "large", 7}});
+    fleet.update(at(0), "h1", 1, {}, {{9, "small", 3}});
+    fleet.update(at(1), "h1", 1, {}, {{9, "small", 5}, {10, "small", 1}});
+    fleet.update(at(1), "h2", 1, {}, {{9, "small", 2}, {9, "large", 7}});
     CHECK_TRUE((fleet.total(9) == WindowCounts {{"large", 7}, {"small", 7}}));
     CHECK_TRUE((fleet.total(10) == WindowCounts {{"small", 1}}));
 }
@@ -35,28 +35,28 @@
 TEST(UsageCounts, whatAProcessCountedStaysWhenItHasEnded)
 {
     FleetCounts fleet;
-    fleet.take(at(0), "h1", 1, {}, {{9, "small", 3}});
-    fleet.take(at(1), "h1", 2, {}, {{9, "small", 4}});
+    fleet.update(at(0), "h1", 1, {}, {{9, "small", 3}});
+    fleet.update(at(1), "h1", 2, {}, {{9, "small", 4}});
     CHECK_EQUAL(7U, fleet.total(9).at("small"));
 }
 
 TEST(UsageCounts, windowsThatAHostDroppedStay)
 {
     FleetCounts fleet;
-    fleet.take(at(0), "h1", 1, {}, {{9, "small", 3}});
-    fleet.take(at(1), "h1", 1, {}, {{10, "small", 1}});
+    fleet.update(at(0), "h1", 1, {}, {{9, "small", 3}});
+    fleet.update(at(1), "h1", 1, {}, {{10, "small", 1}});
     CHECK_EQUAL(3U, fleet.total(9).at("small"));
 }
 
 TEST(UsageCounts, theMedianOutvotesAClockThatStepped)
 {
     FleetCounts fleet;
-    fleet.take(at(0), "h1", 1, std::chrono::milliseconds(1), {{9, "a", 1}});
-    fleet.take(at(0), "h2", 1, std::chrono::seconds(-4), {{9, "a", 1}});
-    fleet.take(at(0), "h3", 1, std::chrono::milliseconds(-2), {{9, "a", 1}});
+    fleet.update(at(0), "h1", 1, std::chrono::milliseconds(1), {{9, "a", 1}});
+    fleet.update(at(0), "h2", 1, std::chrono::seconds(-4), {{9, "a", 1}});
+    fleet.update(at(0), "h3", 1, std::chrono::milliseconds(-2), {{9, "a", 1}});
     CHECK_TRUE(fleet.clockOffset(at(0)) == std::chrono::milliseconds(-2));
-    CHECK_EQUAL(3U, fleet.hosts(at(0)));
-    CHECK_EQUAL(0U, fleet.hosts(at(20)));
+    CHECK_EQUAL(3U, fleet.recentHosts(at(0)));
+    CHECK_EQUAL(0U, fleet.recentHosts(at(20)));
 }
 
 TEST(UsageCounts, aClockIsMovedOnlyByMoreThanAMessageTakes)
--- a/Tests/Usage/usagereportertest.cpp
+++ b/Tests/Usage/usagereportertest.cpp
@@ -442,11 +442,11 @@
         }
         const Duration way = m_now < m_slowUntil ? between(1, 2500) : milliseconds(1);
         // The connection is reset when the time is over: what has not arrived by then never does.
-        if (way < report.within) {
+        if (way < report.timeout) {
             m_events.push({m_now + way, [this, host, report] { judge(host, report); }});
         }
-        const bool answered = way * 2 < report.within && !(m_now < m_loseUntil && chance(0.5));
-        const Duration after = answered ? way * 2 : report.within;
+        const bool answered = way * 2 < report.timeout && !(m_now < m_loseUntil && chance(0.5));
+        const Duration after = answered ? way * 2 : report.timeout;
         deliver(host, life, m_now + after, [handler, answered] {
             handler(answered ? ReportResult::Accepted : ReportResult::TryAgain, answered ? "200" : "none");
         });
