--- a/Source/Peer/codec.cpp
+++ b/Source/Peer/codec.cpp
@@ -43,7 +43,7 @@
     return {text.begin(), text.size()};
 }
 
-/// The enumerator with number @p value if the table of names holds it.
+/// Returns the enumerator with number @p value if the table of names has it.
 template<typename Enum, std::size_t Size>
 std::optional<Enum> checkedEnum(const Base::NameTable<Enum, Size> &table, std::uint8_t value)
 {
@@ -108,7 +108,7 @@
     builder.setAgeMs(toMilliseconds(rate.age));
 }
 
-/// What cannot be a rate is none.
+/// Returns an unknown rate for a value that is negative, infinite or not a number, and limits others to the largest rate.
 Rate::RateWord decodeRate(Wire::RateWord::Reader reader)
 {
     const auto knowledge = checkedEnum(Rate::knowledgeNames, reader.getKnowledge());
@@ -146,7 +146,7 @@
     return {reinterpret_cast<const char *>(data.begin()), data.size()};
 }
 
-/// Writes each kind of message; one overload a kind.
+/// Writes a message into the wire form, with one overload for each type.
 struct Encoder
 {
     Wire::Message::Builder message;
@@ -182,15 +182,15 @@
         }
     }
 
-    void operator()(const EndpointUpdate &news)
+    void operator()(const EndpointUpdate &update)
     {
         auto builder = message.initEndpointNews();
-        builder.setShard(news.shard);
-        builder.setEndpoint(news.endpoint);
-        encodeRate(news.rate, builder.initRate());
-        // Not a moment less than is left.
-        builder.setLeavesForMs(toMilliseconds(std::chrono::ceil<std::chrono::milliseconds>(news.availability.leavesFor)));
-        builder.setRestsForMs(toMilliseconds(std::chrono::ceil<std::chrono::milliseconds>(news.availability.restsFor)));
+        builder.setShard(update.shard);
+        builder.setEndpoint(update.endpoint);
+        encodeRate(update.rate, builder.initRate());
+        // Rounded up, so that the receiver's time does not end before the endpoint's.
+        builder.setLeavesForMs(toMilliseconds(std::chrono::ceil<std::chrono::milliseconds>(update.availability.leavesFor)));
+        builder.setRestsForMs(toMilliseconds(std::chrono::ceil<std::chrono::milliseconds>(update.availability.restsFor)));
     }
 
     void operator()(const Refusal &refusal)
@@ -236,17 +236,17 @@
         builder.setJustBegan(broke.justBegan);
     }
 
-    void operator()(const QuarantineUpdate &news)
+    void operator()(const QuarantineUpdate &update)
     {
         auto builder = message.initQuarantineNews();
-        builder.setDigest(news.digest);
-        auto entries = builder.initEntries(static_cast<unsigned int>(news.entries.size()));
+        builder.setDigest(update.digest);
+        auto entries = builder.initEntries(static_cast<unsigned int>(update.entries.size()));
         for (unsigned int index = 0; index < entries.size(); ++index) {
-            entries[index].setWork(news.entries[index].work);
-            entries[index].setRound(news.entries[index].round);
-            entries[index].setHeld(news.entries[index].held);
-            entries[index].setFirstEndingMs(toMilliseconds(news.entries[index].firstCrashAge));
-            entries[index].setLeftMs(toMilliseconds(news.entries[index].left));
+            entries[index].setWork(update.entries[index].work);
+            entries[index].setRound(update.entries[index].round);
+            entries[index].setHeld(update.entries[index].held);
+            entries[index].setFirstEndingMs(toMilliseconds(update.entries[index].firstCrashAge));
+            entries[index].setLeftMs(toMilliseconds(update.entries[index].left));
         }
     }
 
@@ -286,13 +286,13 @@
     void operator()(const Probe &probe)
     {
         auto builder = message.initProbe();
-        encodeNews(probe, builder);
+        encodeProbe(probe, builder);
     }
 
     void operator()(const Acknowledgement &acknowledgement)
     {
         auto builder = message.initAcknowledgement();
-        encodeNews(acknowledgement, builder);
+        encodeProbe(acknowledgement, builder);
     }
 
     void operator()(const ChangesRequest &request)
@@ -359,15 +359,16 @@
     }
 
 private:
-    template<typename News, typename Builder>
-    static void encodeNews(const News &news, Builder &builder)
+    /// Writes a Probe or an Acknowledgement, which have the same fields.
+    template<typename Kind, typename Builder>
+    static void encodeProbe(const Kind &probe, Builder &builder)
     {
-        builder.setSequence(news.sequence);
-        encodeMembers(news.members, builder);
-        builder.setRevision(news.revision);
-        builder.setDigest(news.digest);
-        if (!news.target.empty()) {
-            builder.setTarget(news.target);
+        builder.setSequence(probe.sequence);
+        encodeMembers(probe.members, builder);
+        builder.setRevision(probe.revision);
+        builder.setDigest(probe.digest);
+        if (!probe.target.empty()) {
+            builder.setTarget(probe.target);
         }
     }
 };
@@ -430,8 +431,9 @@
                     Base::Duration(reader.getLongestGapUs())};
 }
 
-template<typename News, typename Reader>
-News decodeNews(Reader reader)
+/// Reads a Probe or an Acknowledgement, which have the same fields.
+template<typename Kind, typename Reader>
+Kind decodeProbe(Reader reader)
 {
     return {reader.getSequence(), decodeMembers(reader.getMembers()), reader.getRevision(), reader.getDigest(),
             toString(reader.getTarget())};
@@ -466,16 +468,16 @@
 
 QuarantineUpdate decodeQuarantine(Wire::QuarantineNews::Reader reader)
 {
-    QuarantineUpdate news;
-    news.digest = reader.getDigest();
+    QuarantineUpdate update;
+    update.digest = reader.getDigest();
     for (const auto entry : reader.getEntries()) {
-        news.entries.push_back({entry.getWork(), entry.getRound(), entry.getHeld(), fromMilliseconds(entry.getFirstEndingMs()),
-                                fromMilliseconds(entry.getLeftMs())});
+        update.entries.push_back({entry.getWork(), entry.getRound(), entry.getHeld(), fromMilliseconds(entry.getFirstEndingMs()),
+                                  fromMilliseconds(entry.getLeftMs())});
     }
-    return news;
+    return update;
 }
 
-/// The kind of traffic of each message; all that is not named is dispatch.
+/// Maps the types of messages to kinds of traffic; a type that is not listed belongs to dispatch.
 struct TrafficKind
 {
     template<typename Kind>
@@ -535,11 +537,11 @@
         return RunBroke {broke.getWork(), broke.getEndpoint(), broke.getJustBegan()};
     }
     case Wire::Message::ENDPOINT_NEWS: {
-        const auto news = reader.getEndpointNews();
-        return EndpointUpdate {news.getShard(),
-                               news.getEndpoint(),
-                               decodeRate(news.getRate()),
-                               {fromMilliseconds(news.getLeavesForMs()), fromMilliseconds(news.getRestsForMs())}};
+        const auto update = reader.getEndpointNews();
+        return EndpointUpdate {update.getShard(),
+                               update.getEndpoint(),
+                               decodeRate(update.getRate()),
+                               {fromMilliseconds(update.getLeavesForMs()), fromMilliseconds(update.getRestsForMs())}};
     }
     case Wire::Message::QUARANTINE_NEWS:
         return decodeQuarantine(reader.getQuarantineNews());
@@ -550,9 +552,9 @@
     case Wire::Message::RUNNING:
         return decodeRunning(reader.getRunning());
     case Wire::Message::PROBE:
-        return decodeNews<Probe>(reader.getProbe());
+        return decodeProbe<Probe>(reader.getProbe());
     case Wire::Message::ACKNOWLEDGEMENT:
-        return decodeNews<Acknowledgement>(reader.getAcknowledgement());
+        return decodeProbe<Acknowledgement>(reader.getAcknowledgement());
     case Wire::Message::CHANGES_REQUEST:
         return decodeChangesRequest(reader.getChangesRequest());
     case Wire::Message::CHANGES:
--- a/Source/Peer/codec.h
+++ b/Source/Peer/codec.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Between the plain message types and their Cap'n Proto form.
+/// Converts between the plain message types and their Cap'n Proto form.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 /// Writes @p message into @p builder.
 void encode(const Message &message, Wire::Message::Builder builder);
 
-/// Reads a message; nothing if a newer host sent a kind or a value that this one does not know.
+/// Reads a message. Returns nothing if a newer host sent a kind or an enumerator that this version does not know.
 std::optional<Message> decode(Wire::Message::Reader reader);
 
 } // namespace Yokepond::Peer
--- a/Source/Peer/edge.cpp
+++ b/Source/Peer/edge.cpp
@@ -24,9 +24,9 @@
 
 namespace {
 
-constexpr std::size_t mostQueuedMessages = 20'000; ///< for one peer
-constexpr std::size_t mostMessagesPerCall = 256;
-constexpr unsigned int mostCallsInFlight = 2;
+constexpr std::size_t maxQueuedMessages = 20'000; ///< limit for one peer
+constexpr std::size_t maxMessagesPerCall = 256;
+constexpr unsigned int maxCallsInFlight = 2;
 constexpr auto connectTimeout = 1 * kj::SECONDS;
 constexpr auto callTimeout = 4 * kj::SECONDS;
 constexpr auto reconnectDelay = 100 * kj::MILLISECONDS;
@@ -37,15 +37,15 @@
     Message message;
 };
 
-/// The call with this token has been handled.
-struct Handled
+/// Ends the incoming call that has this token.
+struct EndCall
 {
     std::uint64_t token = 0;
 };
 
-using Order = std::variant<Outgoing, Handled>;
+using Command = std::variant<Outgoing, EndCall>;
 
-/// Encodes @p messages into a list and counts their bytes by kind.
+/// Encodes the first @p count of @p messages into a list and adds their sizes to @p sentBytes.
 template<typename ListBuilder>
 void encodeAll(const std::vector<Message> &messages, std::size_t count, ListBuilder list, TrafficCounts &sentBytes)
 {
@@ -68,18 +68,19 @@
     return messages;
 }
 
-/// Calls whose returns wait for the decisions; all on the edge's thread.
-class OpenReturns
+/// Incoming calls that have not returned yet. A call returns when its messages have been handled, and its result carries what was
+/// sent to that peer in the meantime. Used on the edge's thread only.
+class OpenCalls
 {
 public:
     using PostContext = capnp::CallContext<Wire::Session::PostParams, Wire::Session::PostResults>;
 
-    explicit OpenReturns(TrafficCounts &sentBytes)
+    explicit OpenCalls(TrafficCounts &sentBytes)
         : m_sentBytes(sentBytes)
     {
     }
 
-    /// The token of a new call from the peer at @p address, and the promise of its return.
+    /// Adds a call from the peer at @p address. Returns its token and a promise that is fulfilled by finish().
     std::pair<std::uint64_t, kj::Promise<void>> open(const std::string &address, PostContext context)
     {
         auto pair = kj::newPromiseAndFulfiller<void>();
@@ -89,7 +90,7 @@
         return {token, kj::mv(pair.promise)};
     }
 
-    /// Puts @p message on the return of a call from @p address, if there is one.
+    /// Adds @p message to the result of the latest open call from @p address. Returns false if there is none.
     bool add(const std::string &address, Message &message)
     {
         const auto token = m_byAddress.find(address);
@@ -100,6 +101,7 @@
         return true;
     }
 
+    /// Writes the call's result and returns it to the peer.
     void finish(std::uint64_t token)
     {
         const auto entry = m_calls.find(token);
@@ -132,17 +134,17 @@
     TrafficCounts &m_sentBytes;
     std::uint64_t m_nextToken = 1;
     std::map<std::uint64_t, Call> m_calls;
-    std::map<std::string, std::uint64_t> m_byAddress; ///< the latest call of each peer
+    std::map<std::string, std::uint64_t> m_byAddress; ///< latest call of each peer
 };
 
-/// Hands the messages of one connection to the handler.
+/// Passes the messages of one connection to the handler.
 class SessionServer final : public Wire::Session::Server
 {
 public:
-    SessionServer(const Edge::Handler &handler, OpenReturns &returns, std::string from, std::uint64_t incarnation,
+    SessionServer(const Edge::Handler &handler, OpenCalls &calls, std::string from, std::uint64_t incarnation,
                   std::string address)
         : m_handler(handler)
-        , m_returns(returns)
+        , m_calls(calls)
         , m_from(std::move(from))
         , m_incarnation(incarnation)
         , m_address(std::move(address))
@@ -153,26 +155,27 @@
     {
         auto messages = decodeAll(context.getParams().getMessages());
         context.releaseParams();
-        auto [token, returned] = m_returns.open(m_address, context);
+        auto [token, returned] = m_calls.open(m_address, context);
         m_handler(MessagesReceived {m_from, m_incarnation, std::move(messages), token});
         return kj::mv(returned);
     }
 
 private:
     const Edge::Handler &m_handler;
-    OpenReturns &m_returns;
+    OpenCalls &m_calls;
     std::string m_from;
     std::uint64_t m_incarnation;
     std::string m_address;
 };
 
+/// Opens a session for each peer that connects.
 class HostServer final : public Wire::Host::Server
 {
 public:
-    HostServer(const EdgeOptions &options, const Edge::Handler &handler, OpenReturns &returns)
+    HostServer(const EdgeOptions &options, const Edge::Handler &handler, OpenCalls &calls)
         : m_options(options)
         , m_handler(handler)
-        , m_returns(returns)
+        , m_calls(calls)
     {
     }
 
@@ -182,7 +185,7 @@
         auto results = context.getResults();
         const std::string from(params.getName().begin(), params.getName().size());
         const std::string address(params.getAddress().begin(), params.getAddress().size());
-        results.setSession(kj::heap<SessionServer>(m_handler, m_returns, from, params.getIncarnation(), address));
+        results.setSession(kj::heap<SessionServer>(m_handler, m_calls, from, params.getIncarnation(), address));
         results.setName(m_options.name);
         results.setIncarnation(m_options.incarnation);
         return kj::READY_NOW;
@@ -191,18 +194,18 @@
 private:
     const EdgeOptions &m_options;
     const Edge::Handler &m_handler;
-    OpenReturns &m_returns;
+    OpenCalls &m_calls;
 };
 
-/// An accepted connection; lives until the peer closes it.
-struct Incoming
+/// A connection that a peer opened. It exists until the peer closes it.
+struct AcceptedConnection
 {
     kj::Own<kj::AsyncIoStream> stream;
     PackedStream packed;
     capnp::TwoPartyVatNetwork network;
     capnp::RpcSystem<capnp::rpc::twoparty::VatId> system;
 
-    Incoming(kj::Own<kj::AsyncIoStream> accepted, LinkCounters &counters, capnp::Capability::Client bootstrap)
+    AcceptedConnection(kj::Own<kj::AsyncIoStream> accepted, LinkCounters &counters, capnp::Capability::Client bootstrap)
         : stream(kj::mv(accepted))
         , packed(*stream, counters)
         , network(packed, capnp::rpc::twoparty::Side::SERVER)
@@ -211,15 +214,15 @@
     }
 };
 
-/// A connection this host made.
-struct Connected
+/// A connection that this host opened to a peer.
+struct OpenedConnection
 {
     kj::Own<kj::AsyncIoStream> stream;
     PackedStream packed;
     capnp::TwoPartyVatNetwork network;
     capnp::RpcSystem<capnp::rpc::twoparty::VatId> system;
 
-    Connected(kj::Own<kj::AsyncIoStream> made, LinkCounters &counters)
+    OpenedConnection(kj::Own<kj::AsyncIoStream> made, LinkCounters &counters)
         : stream(kj::mv(made))
         , packed(*stream, counters)
         , network(packed, capnp::rpc::twoparty::Side::CLIENT)
@@ -236,7 +239,7 @@
     }
 };
 
-/// One peer that messages are sent to; all members on the edge's thread.
+/// Sends messages to one peer, over a connection that is opened when needed. Used on the edge's thread only.
 class PeerLink final : public kj::TaskSet::ErrorHandler
 {
 public:
@@ -254,11 +257,11 @@
 
     void send(Message message)
     {
-        if (m_queue.size() >= mostQueuedMessages) {
-            fail("its queue is full");
+        if (m_queue.size() >= maxQueuedMessages) {
+            fail("too many messages are queued for the peer");
         }
         m_queue.push_back(std::move(message));
-        pump();
+        sendQueued();
     }
 
 private:
@@ -269,8 +272,8 @@
         fail(exception.getDescription().cStr());
     }
 
-    /// Runs @p task; its failure ends the present connection only if it belongs to it: calls of a connection that was given up
-    /// fail later, one by one.
+    /// Runs @p task. Its failure closes the present connection only if the task belongs to that connection: the calls of an
+    /// earlier one, which was closed already, fail later and one by one.
     void watch(kj::Promise<void> task)
     {
         const auto generation = m_generation;
@@ -281,7 +284,7 @@
         }));
     }
 
-    void pump()
+    void sendQueued()
     {
         if (m_queue.empty()) {
             return;
@@ -289,7 +292,7 @@
         if (m_state == State::Idle) {
             connect();
         }
-        while (m_state == State::Ready && !m_queue.empty() && m_inFlight < mostCallsInFlight) {
+        while (m_state == State::Ready && !m_queue.empty() && m_inFlight < maxCallsInFlight) {
             post();
         }
     }
@@ -299,23 +302,23 @@
         m_state = State::Connecting;
         auto &timer = m_io.provider->getTimer();
         const auto generation = m_generation;
-        auto whole = m_io.provider->getNetwork()
-                         .parseAddress(m_address)
-                         .then([](kj::Own<kj::NetworkAddress> address) { return address->connect().attach(kj::mv(address)); })
-                         .then([this, generation](kj::Own<kj::AsyncIoStream> stream) -> kj::Promise<void> {
-                             if (generation != m_generation) {
-                                 return kj::READY_NOW;
-                             }
-                             return open(kj::mv(stream), generation);
-                         });
-        watch(timer.timeoutAfter(connectTimeout, kj::mv(whole)));
+        auto connected = m_io.provider->getNetwork()
+                             .parseAddress(m_address)
+                             .then([](kj::Own<kj::NetworkAddress> address) { return address->connect().attach(kj::mv(address)); })
+                             .then([this, generation](kj::Own<kj::AsyncIoStream> stream) -> kj::Promise<void> {
+                                 if (generation != m_generation) {
+                                     return kj::READY_NOW;
+                                 }
+                                 return open(kj::mv(stream), generation);
+                             });
+        watch(timer.timeoutAfter(connectTimeout, kj::mv(connected)));
     }
 
     kj::Promise<void> open(kj::Own<kj::AsyncIoStream> stream, std::uint64_t generation)
     {
         int on = 1;
         stream->setsockopt(IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-        m_connection = kj::heap<Connected>(kj::mv(stream), m_counters);
+        m_connection = kj::heap<OpenedConnection>(kj::mv(stream), m_counters);
         auto request = m_connection->host().connectRequest();
         request.setName(m_options.name);
         request.setIncarnation(m_options.incarnation);
@@ -329,14 +332,14 @@
             m_session = results.getSession();
             m_state = State::Ready;
             Base::log(Base::LogLevel::Debug, Base::LogEvent::PeerConnected, {{"address", m_address}});
-            pump();
+            sendQueued();
         });
     }
 
     void post()
     {
         auto request = KJ_ASSERT_NONNULL(m_session).postRequest();
-        const std::size_t count = std::min(m_queue.size(), mostMessagesPerCall);
+        const std::size_t count = std::min(m_queue.size(), maxMessagesPerCall);
         encodeAll(m_queue, count, request.initMessages(static_cast<unsigned int>(count)), m_sentBytes);
         m_queue.erase(m_queue.begin(), m_queue.begin() + static_cast<std::ptrdiff_t>(count));
         ++m_inFlight;
@@ -349,7 +352,7 @@
                 m_handler(MessagesReceived {m_peerName, m_peerIncarnation, decodeAll(results.getMessages()), 0});
             }
             --m_inFlight;
-            pump();
+            sendQueued();
         });
         watch(m_io.provider->getTimer().timeoutAfter(callTimeout, kj::mv(sent)));
     }
@@ -371,7 +374,7 @@
         m_inFlight = 0;
         m_session = nullptr;
         if (m_connection.get() != nullptr) {
-            // The connection may be what is calling; it goes once the present event has been handled.
+            // This function may have been called from the connection's own code, so the connection is destroyed later.
             m_tasks.add(m_io.provider->getTimer().afterDelay(reconnectDelay).attach(kj::mv(m_connection)));
         }
     }
@@ -388,7 +391,7 @@
     std::uint64_t m_generation = 0;
     unsigned int m_inFlight = 0;
     std::vector<Message> m_queue;
-    kj::Own<Connected> m_connection;
+    kj::Own<OpenedConnection> m_connection;
     kj::Maybe<Wire::Session::Client> m_session;
     kj::TaskSet m_tasks;
 };
@@ -426,16 +429,16 @@
         return result.get();
     }
 
-    void give(Order order)
+    void enqueue(Command command)
     {
-        if (const auto *outgoing = std::get_if<Outgoing>(&order)) {
+        if (const auto *outgoing = std::get_if<Outgoing>(&command)) {
             ++m_sent.at(static_cast<std::size_t>(trafficOf(outgoing->message)));
         }
         bool wake = false;
         {
             const std::lock_guard lock(m_mutex);
-            wake = m_orders.empty();
-            m_orders.push_back(std::move(order));
+            wake = m_commands.empty();
+            m_commands.push_back(std::move(command));
         }
         if (wake) {
             eventfd_write(m_wake, 1);
@@ -453,7 +456,7 @@
 private:
     void taskFailed(kj::Exception &&) override
     {
-        // A broken incoming connection; its peer makes a new one.
+        // An incoming connection broke. The peer opens a new one.
     }
 
     void run(std::promise<absl::Status> &started)
@@ -470,14 +473,14 @@
             return;
         }
         m_port = static_cast<std::uint16_t>(receiver->getPort());
-        OpenReturns returns(m_sentBytes);
-        Wire::Host::Client bootstrap = kj::heap<HostServer>(m_options, m_handler, returns);
+        OpenCalls calls(m_sentBytes);
+        Wire::Host::Client bootstrap = kj::heap<HostServer>(m_options, m_handler, calls);
         tasks.add(acceptNext(*receiver, bootstrap, tasks));
         started.set_value(absl::OkStatus());
         std::map<std::string, std::unique_ptr<PeerLink>> links;
         kj::UnixEventPort::FdObserver observer(io.unixEventPort, m_wake, kj::UnixEventPort::FdObserver::OBSERVE_READ);
         while (!m_stopping) {
-            takeOrders(io, links, returns);
+            processCommands(io, links, calls);
             timespec used {};
             clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
             m_processorMicroseconds = used.tv_sec * 1'000'000 + used.tv_nsec / 1'000;
@@ -492,27 +495,27 @@
         return receiver.accept().then([this, &receiver, bootstrap, &tasks](kj::Own<kj::AsyncIoStream> stream) mutable {
             int on = 1;
             stream->setsockopt(IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-            auto incoming = kj::heap<Incoming>(kj::mv(stream), m_counters, bootstrap);
+            auto incoming = kj::heap<AcceptedConnection>(kj::mv(stream), m_counters, bootstrap);
             auto &network = incoming->network;
             tasks.add(network.onDisconnect().attach(kj::mv(incoming)));
             return acceptNext(receiver, kj::mv(bootstrap), tasks);
         });
     }
 
-    void takeOrders(kj::AsyncIoContext &io, std::map<std::string, std::unique_ptr<PeerLink>> &links, OpenReturns &returns)
+    void processCommands(kj::AsyncIoContext &io, std::map<std::string, std::unique_ptr<PeerLink>> &links, OpenCalls &calls)
     {
-        std::vector<Order> orders;
+        std::vector<Command> commands;
         {
             const std::lock_guard lock(m_mutex);
-            orders.swap(m_orders);
+            commands.swap(m_commands);
         }
-        for (Order &order : orders) {
-            if (const auto *handled = std::get_if<Handled>(&order)) {
-                returns.finish(handled->token);
+        for (Command &command : commands) {
+            if (const auto *endCall = std::get_if<EndCall>(&command)) {
+                calls.finish(endCall->token);
                 continue;
             }
-            auto &outgoing = std::get<Outgoing>(order);
-            if (returns.add(outgoing.address, outgoing.message)) {
+            auto &outgoing = std::get<Outgoing>(command);
+            if (calls.add(outgoing.address, outgoing.message)) {
                 continue;
             }
             auto &link = links[outgoing.address];
@@ -526,7 +529,7 @@
     int m_wake;
     std::atomic<bool> m_stopping = false;
     std::mutex m_mutex;
-    std::vector<Order> m_orders;
+    std::vector<Command> m_commands;
     std::thread m_thread;
 };
 
@@ -548,12 +551,12 @@
 
 void Edge::send(std::string address, Message message)
 {
-    m_implementation->give(Outgoing {std::move(address), std::move(message)});
+    m_implementation->enqueue(Outgoing {std::move(address), std::move(message)});
 }
 
 void Edge::markHandled(std::uint64_t token)
 {
-    m_implementation->give(Handled {token});
+    m_implementation->enqueue(EndCall {token});
 }
 
 std::uint16_t Edge::port() const
--- a/Source/Peer/edge.h
+++ b/Source/Peer/edge.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The Cap'n Proto RPC edge: a thread with its own event loop that carries typed messages between hosts.
+/// The transport between hosts: a thread with its own event loop that sends and receives typed messages over Cap'n Proto RPC.
 
 #pragma once
 
@@ -21,16 +21,16 @@
 
 namespace Yokepond::Peer {
 
-/// Messages from a peer, in the order it sent them.
+/// Messages that a peer sent, in its order.
 struct MessagesReceived
 {
     std::string from;
     std::uint64_t incarnation = 0;
     std::vector<Message> messages;
-    std::uint64_t token = 0; ///< to be given to Edge::handled(); 0: not awaited
+    std::uint64_t token = 0; ///< to be passed to Edge::markHandled() afterwards; 0 if that is not needed
 };
 
-/// Messages to a peer may have been lost: the connection broke, could not be made, or its queue overflowed.
+/// Messages to a peer may have been lost, because the connection broke, could not be made, or the peer's queue overflowed.
 struct MessagesLost
 {
     std::string address; ///< ip:port
@@ -41,22 +41,23 @@
 struct EdgeOptions
 {
     Base::Address listen;
-    std::string advertised; ///< the address other hosts are told, ip:port
+    std::string advertised; ///< address that is announced to other hosts, ip:port
     std::string name;
     std::uint64_t incarnation = 0;
 };
 
-/// Counts by kind of traffic; written by one thread, read by any.
+/// Counters by kind of traffic. One thread writes them, any thread may read them.
 using TrafficCounts = std::array<std::atomic<std::uint64_t>, trafficNames.size()>;
 
-/// Delivers each message at most once and in order for each peer. Does not retry: a Lost event tells that some may be gone.
+/// Sends messages to other hosts and receives theirs. Each message arrives at most once, and those for one peer arrive in order.
+/// Nothing is sent again: a MessagesLost event reports that some messages may not have arrived.
 class Edge
 {
 public:
-    /// @p handler is called on the edge's thread; it must only queue the event.
+    /// Takes an event on the edge's thread, where it must only be queued.
     using Handler = std::function<void(Event)>;
 
-    /// Listens and starts the thread. Fails with ErrorKind::InvalidSettings if the address cannot be had.
+    /// Listens and starts the thread. Fails with ErrorKind::InvalidSettings if it cannot listen on the address.
     static absl::StatusOr<std::unique_ptr<Edge>> start(EdgeOptions options, Handler handler);
 
     ~Edge();
@@ -66,20 +67,21 @@
     /// Queues @p message for the host listening on @p address (ip:port); callable from any thread.
     void send(std::string address, Message message);
 
-    /// Tells that a Received has been handled: what has been sent to its peer meanwhile goes back with the call's return, which
-    /// saves a call of its own.
+    /// Ends the RPC call that brought the messages with @p token. Messages that were sent to that peer since then go back as the
+    /// call's result, which saves a call in the other direction. Callable from any thread.
     void markHandled(std::uint64_t token);
 
-    /// The port listened on.
+    /// Returns the port that the edge listens on.
     std::uint16_t port() const;
 
     const LinkCounters &counters() const;
     const TrafficCounts &sentMessages() const;
 
-    /// Bytes of the encoded messages by kind, before packing and without RPC framing; to share out counters().bytesSent.
+    /// Returns the size of the encoded messages by kind, before packing and without RPC framing. It serves to divide
+    /// counters().bytesSent among the kinds.
     const TrafficCounts &sentBytes() const;
 
-    /// Processor time the edge's thread has used.
+    /// Returns the processor time that the edge's thread has used.
     Base::Duration processorTime() const;
 
 private:
--- a/Source/Peer/message.h
+++ b/Source/Peer/message.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The messages between hosts as plain types; peer.capnp is their form on the wire.
+/// The messages between hosts as plain types. peer.capnp defines their form on the wire, codec.h converts between the two.
 
 #pragma once
 
@@ -18,45 +18,45 @@
 
 namespace Yokepond::Peer {
 
-/// Names one try of one request within its home.
+/// Identifies one attempt of one request within its home.
 struct AttemptId
 {
-    std::uint64_t request = 0; ///< the home's sequence number
+    std::uint64_t request = 0; ///< sequence number that the home assigned
     std::uint8_t attempt = 0;
 
     auto operator<=>(const AttemptId &) const = default;
 };
 
-/// Asks the dispatcher of a shard for an endpoint.
+/// A home's request to the dispatcher of a shard for an endpoint.
 struct Ask
 {
     AttemptId id;
     std::uint32_t shard = 0;
-    std::uint32_t requestClass = 0; ///< number in the configuration
-    std::uint32_t organisation = 0; ///< number in the configuration
-    Base::Duration age {}; ///< since the caller's request arrived; sent in whole milliseconds
-    Base::Duration remaining {}; ///< until its deadline; sent in whole milliseconds
-    Base::Instant sentAt {}; ///< on the home's clock
-    std::uint32_t promptTokens = 0; ///< estimate
-    std::vector<std::uint64_t> prefix; ///< hashes of ever longer beginnings of the prompt
-    std::uint32_t avoid = 0; ///< endpoint of the failed attempt, 0 for none
-    int rank = 0; ///< of the request; 1 is the highest, 0: that of its class
-    std::uint32_t expectedTokens = 0; ///< of the answer, 0 if not known
-    std::vector<std::uint32_t> prefixTokens; ///< tokens of the prompt up to the end of each entry of prefix; may be empty
+    std::uint32_t requestClass = 0; ///< number of the class in the configuration
+    std::uint32_t organisation = 0; ///< number of the organisation in the configuration
+    Base::Duration age {}; ///< time since the caller's request arrived; sent in whole milliseconds
+    Base::Duration remaining {}; ///< time until the request's deadline; sent in whole milliseconds
+    Base::Instant sentAt {}; ///< time of sending on the home's clock
+    std::uint32_t promptTokens = 0; ///< estimated length of the prompt
+    std::vector<std::uint64_t> prefix; ///< hashes of the prompt's prefixes, the shortest first
+    std::uint32_t avoid = 0; ///< endpoint of the failed attempt; 0 for none
+    int rank = 0; ///< rank of the request: 1 is the highest, 0 stands for the rank of its class
+    std::uint32_t expectedTokens = 0; ///< expected length of the response; 0 if not known
+    std::vector<std::uint32_t> prefixTokens; ///< prompt tokens up to the end of each entry of prefix; may be empty
 };
 
-/// Gives an endpoint to an ask.
+/// Assigns an endpoint to an ask.
 struct Grant
 {
     AttemptId id;
-    std::uint32_t endpoint = 0; ///< number in the configuration
-    Base::Instant startBy {}; ///< on the home's clock; a run must not start later
-    std::uint32_t pressure = 0; ///< of the shard: asks queued and running per thousand of its endpoints' windows
-    std::uint32_t keeper = 0; ///< endpoint from which the run's own takes what is kept of the prompt, 0 for none
-    Rate::RateWord rate; ///< by which the dispatcher counts at the endpoint
+    std::uint32_t endpoint = 0; ///< number of the endpoint in the configuration
+    Base::Instant startBy {}; ///< latest time at which the run may start, on the home's clock
+    std::uint32_t pressure = 0; ///< load of the shard: asks queued and running per thousand slots of its endpoints
+    std::uint32_t keeper = 0; ///< endpoint from which the granted one fetches the cached part of the prompt; 0 for none
+    Rate::RateWord rate; ///< request rate that the dispatcher assumes for the endpoint
 };
 
-/// Tells a dispatcher what a home knows of an endpoint by the endpoint's own answers.
+/// Reports to a dispatcher what a home has learned about an endpoint from the endpoint's own responses.
 struct EndpointUpdate
 {
     std::uint32_t shard = 0;
@@ -68,11 +68,11 @@
 enum class RefusalReason : std::uint8_t {
     QueueFull,
     DeadlinePassed,
-    NoEndpoint, ///< all are drained or leaving
+    NoEndpoint, ///< all endpoints are drained or leaving
     NotDispatcher,
     UnknownClass,
-    EndpointsDown, ///< all have failed and will be probed soon
-    TooLate, ///< the target cannot be met
+    EndpointsDown, ///< all endpoints have failed and will be probed soon
+    TooLate, ///< the latency target cannot be met
 };
 
 inline constexpr Base::NameTable<RefusalReason, 7> refusalReasonNames = {{
@@ -85,28 +85,31 @@
     {RefusalReason::TooLate, "too-late"},
 }};
 
+/// Rejects an ask.
 struct Refusal
 {
     AttemptId id;
     RefusalReason reason = RefusalReason::QueueFull;
-    Base::Duration retryAfter {}; ///< sent in whole milliseconds
-    std::uint32_t pressure = 0;
+    Base::Duration retryAfter {}; ///< delay before the caller should retry; sent in whole milliseconds
+    std::uint32_t pressure = 0; ///< load of the shard, see Grant::pressure
 };
 
-/// Tells that an ask waits in its dispatcher's queue: an ask that gets neither this nor an answer soon has been lost.
+/// Confirms that an ask waits in its dispatcher's queue. A home that soon gets neither this nor a grant or refusal considers the
+/// ask lost.
 struct Queued
 {
     AttemptId id;
 };
 
-/// Takes an ask back.
+/// Cancels an ask.
 struct Withdrawal
 {
     AttemptId id;
     std::uint32_t shard = 0;
 };
 
-/// How a run ended, as its home saw it.
+/// How a run ended, as its home saw it. EndpointReplaced: another endpoint has the address by now and did not process the
+/// request.
 enum class RunResult : std::uint8_t { Completed, NotStarted, Failed, Unreachable, Cancelled, Rejected, ErrorResponse, Gone };
 
 inline constexpr Base::NameTable<RunResult, 8> runResultNames = {{
@@ -120,17 +123,17 @@
     {RunResult::Gone, "gone"},
 }};
 
-/// Gives a permit back with what the home observed.
+/// Returns a permit with the home's measurements of the run.
 struct Release
 {
     AttemptId id;
     std::uint32_t shard = 0;
     std::uint32_t endpoint = 0;
     RunResult result = RunResult::Completed;
-    Base::Duration firstToken {}; ///< from the start of the run, zero if none came; sent in whole milliseconds
-    Base::Duration gap {}; ///< mean between tokens
+    Base::Duration firstToken {}; ///< time from the start of the run to the first token, zero if none came; sent in whole ms
+    Base::Duration gap {}; ///< mean time between tokens
     std::uint32_t tokens = 0;
-    Base::Duration longestGap {}; ///< between tokens
+    Base::Duration longestGap {}; ///< longest time between two tokens
 };
 
 struct RunningPermit
@@ -140,7 +143,7 @@
     std::uint32_t requestClass = 0;
 };
 
-/// All permits of a shard that the sender holds.
+/// Lists all permits of a shard that the sender holds.
 struct RunningReport
 {
     std::uint32_t shard = 0;
@@ -156,30 +159,30 @@
     {MemberState::Dead, "dead"},
 }};
 
-/// What is known of a member.
+/// State of one member of the fleet, as the sender has it.
 struct Member
 {
     std::string name;
     std::uint64_t incarnation = 0; ///< grows with each start of the host's daemon
     std::uint32_t version = 0; ///< raised by the member itself when it refutes a suspicion or leaves
     MemberState state = MemberState::Alive;
-    std::string address; ///< for peers
+    std::string address; ///< address for peers
     std::string dataCentre;
     std::string operatorAddress;
     std::string callerAddress;
-    std::uint32_t milliCores = 0; ///< of processor that the host may use; 0 if not known
+    std::uint32_t milliCores = 0; ///< processor capacity that the host may use, in thousandths of a core; 0 if not known
 
     bool operator==(const Member &) const = default;
 };
 
-/// Asks for an acknowledgement; carries recent membership news both ways.
+/// Requests an acknowledgement. Both messages carry recent changes of the membership.
 struct Probe
 {
     std::uint32_t sequence = 0;
     std::vector<Member> members;
-    std::uint64_t revision = 0; ///< of the sender's configuration
-    std::uint64_t digest = 0; ///< of the sender's member table
-    std::string target; ///< not empty: probe this member in the sender's place
+    std::uint64_t revision = 0; ///< revision of the sender's configuration
+    std::uint64_t digest = 0; ///< digest of the sender's member table
+    std::string target; ///< member to probe on the sender's behalf; empty for a probe of the receiver
 };
 
 struct Acknowledgement
@@ -188,46 +191,50 @@
     std::vector<Member> members;
     std::uint64_t revision = 0;
     std::uint64_t digest = 0;
-    std::string target; ///< not empty: the acknowledgement is this member's
+    std::string target; ///< member that acknowledged, if the acknowledgement is passed on; empty for the sender's own
 };
 
+/// Requests the changes of the configuration and of the endpoints that the sender does not have.
 struct ChangesRequest
 {
-    std::uint64_t since = 0;
-    std::uint64_t endpointsSince = 0; ///< where endpoints have versions apart from the configuration's
-    bool endpointsOnly = false; ///< the configuration has been asked for elsewhere
+    std::uint64_t since = 0; ///< revision of the sender's configuration
+    std::uint64_t endpointsSince = 0; ///< revision of its endpoints, where they have revisions of their own
+    bool endpointsOnly = false; ///< the sender has requested the configuration from another host
 };
 
+/// Reply to ChangesRequest.
 struct Changes
 {
-    std::string snapshot; ///< JSON; empty unless the log does not reach back far enough
+    std::string snapshot; ///< the configuration as JSON; empty unless the log does not reach back far enough
     std::vector<std::string> log; ///< JSON change records in order
     std::string packed; ///< a platform's records, compressed; see Configuration/changescodec.h
-    std::uint64_t base = 0; ///< version of the configuration against which they are compressed; 0: against none
+    std::uint64_t base = 0; ///< version of the configuration that packed is compressed against; 0 for none
 };
 
-/// Asks the receiver to follow the platform's store for a while: the store does not answer the sender, whose duty it is.
+/// Asks the receiver to follow the platform's store for a while, because the store does not answer the sender, which has that
+/// duty.
 struct FollowStore
 {
 };
 
-/// Answers FollowStore.
+/// Reply to FollowStore.
 struct FollowAnswer
 {
-    bool follows = false; ///< false: the store does not answer the sender either
+    bool follows = false; ///< false if the store does not answer this host either
 };
 
-/// A query that another host answers from its own state.
+/// A query that the receiver answers from its own state.
 struct Gather
 {
     std::uint64_t id = 0;
     std::string statement;
 };
 
+/// Reply to Gather.
 struct Gathered
 {
     std::uint64_t id = 0;
-    std::string answer; ///< JSON
+    std::string answer; ///< result rows as JSON
 };
 
 struct ForwardedHeader
@@ -236,7 +243,7 @@
     std::string value;
 };
 
-/// A caller's request passed on to the home its ticket names.
+/// A caller's request, forwarded to the home that its ticket names.
 struct Forward
 {
     std::uint64_t id = 0;
@@ -246,6 +253,7 @@
     std::string body;
 };
 
+/// Response to a forwarded request.
 struct Forwarded
 {
     std::uint64_t id = 0;
@@ -254,7 +262,7 @@
     std::string body;
 };
 
-/// How many requests of one organisation endpoints began in one window, at the host that tells it.
+/// Number of requests of one organisation that endpoints began in one window, as counted by one host.
 struct UsageEntry
 {
     std::int64_t window = 0;
@@ -264,50 +272,51 @@
     bool operator==(const UsageEntry &) const = default;
 };
 
-/// What a host's endpoints began, of all windows that may still have to be reported; replaces what it told before.
+/// The sender's counts of all windows that may still have to be reported. They replace those that it sent before.
 struct UsageCounts
 {
-    std::int64_t clock = 0; ///< of the sender, microseconds since the Unix epoch
+    std::int64_t clock = 0; ///< the sender's clock, microseconds since the Unix epoch
     std::vector<UsageEntry> entries;
 };
 
-/// That a host's counts have come, with the fleet's time and how far usage has been fixed.
+/// Acknowledges UsageCounts, with the fleet's time and the progress of the reports.
 struct UsageReceived
 {
-    std::int64_t clock = 0; ///< the median over all hosts, microseconds since the Unix epoch
-    std::int64_t fixedUpTo = 0; ///< newest window whose counts are in the store, 0 if not known
-    bool holder = false; ///< the sender is the one that reports
+    std::int64_t clock = 0; ///< median of all hosts' clocks, microseconds since the Unix epoch
+    std::int64_t fixedUpTo = 0; ///< newest window whose counts are in the store; 0 if not known
+    bool holder = false; ///< whether the sender is the host that reports usage
 };
 
-/// A run broke off before its answer was whole, told to the hosts that count the endings of its work.
+/// Reports a run whose connection broke before its response was complete. It goes to the hosts that count the crashes of the
+/// run's work.
 struct RunBroke
 {
-    std::uint64_t work = 0; ///< see Request::NewRequest
+    std::uint64_t work = 0; ///< hash of what the request asks for, see Request::NewRequest
     std::uint32_t endpoint = 0;
-    bool justBegan = false; ///< its answer had begun, and hardly more; or it does not tell its begin
+    bool justBegan = false; ///< the response had only just begun, or is not streamed and does not show when it begins
 };
 
-/// What is believed of work under which endpoints ended.
+/// State of work whose runs ended in crashes of their endpoints.
 struct QuarantineEntry
 {
     std::uint64_t work = 0;
-    std::uint32_t round = 0; ///< grows each time that it is held
-    bool held = false; ///< false: it has ended well since, and is harmless
-    Base::Duration firstCrashAge {}; ///< of the endings that were counted; sent in whole milliseconds
-    Base::Duration left {}; ///< until the belief ends; sent in whole milliseconds
+    std::uint32_t round = 0; ///< grows each time that the work is quarantined
+    bool held = false; ///< false if the work was cleared, since a run of it completed
+    Base::Duration firstCrashAge {}; ///< time since the first crash that was counted; sent in whole milliseconds
+    Base::Duration left {}; ///< time until the entry expires; sent in whole milliseconds
 };
 
 struct QuarantineUpdate
 {
-    std::uint64_t digest = 0; ///< of all that the sender believes
-    std::vector<QuarantineEntry> entries; ///< some of it, or all
+    std::uint64_t digest = 0; ///< digest of all of the sender's entries
+    std::vector<QuarantineEntry> entries; ///< some or all of the sender's entries
 };
 
 using Message = std::variant<Ask, Grant, Refusal, Withdrawal, Release, RunningReport, Probe, Acknowledgement, ChangesRequest,
                              Changes, Gather, Gathered, Forward, Forwarded, Queued, UsageCounts, UsageReceived, RunBroke,
                              QuarantineUpdate, EndpointUpdate, FollowStore, FollowAnswer>;
 
-/// What a message is for; bytes on the wire are counted apart for each.
+/// Purpose of a message; messages and bytes are counted separately for each.
 enum class Traffic { Dispatch, Membership, Configuration, Query, Forwarding, Usage };
 
 inline constexpr Base::NameTable<Traffic, 6> trafficNames = {{
@@ -319,7 +328,7 @@
     {Traffic::Usage, "usage"},
 }};
 
-/// The kind of traffic that @p message belongs to.
+/// Returns the kind of traffic that @p message belongs to.
 Traffic trafficOf(const Message &message);
 
 } // namespace Yokepond::Peer
--- a/Source/Peer/packedstream.cpp
+++ b/Source/Peer/packedstream.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t lengthBytes = 4;
-constexpr std::size_t largestFrame = 16U << 20U;
+constexpr std::size_t maxFrameBytes = 16U << 20U;
 constexpr unsigned int bitsPerByte = 8;
 
 using LengthField = std::array<kj::byte, lengthBytes>;
@@ -36,15 +36,15 @@
     return length;
 }
 
-/// Throws, which ends the connection.
+/// Throws an exception if the frame is too long, which closes the connection.
 void requireFrameWithinLimit(std::size_t length)
 {
-    if (length > largestFrame) {
-        kj::throwFatalException(KJ_EXCEPTION(FAILED, "a peer sent a frame over the limit", length));
+    if (length > maxFrameBytes) {
+        kj::throwFatalException(KJ_EXCEPTION(FAILED, "the peer sent a frame that is longer than the limit", length));
     }
 }
 
-/// A packed message with the memory it is read from.
+/// Reads a packed message and owns the memory that holds it.
 class OwnedReader final : public capnp::MessageReader
 {
 public:
@@ -82,8 +82,8 @@
     auto field = kj::heap<LengthField>();
     auto *data = field->data();
     return m_stream.tryRead(data, lengthBytes, lengthBytes)
-        .then([this, options, field = kj::mv(field)](std::size_t got) mutable -> kj::Promise<Result> {
-            if (got < lengthBytes) {
+        .then([this, options, field = kj::mv(field)](std::size_t bytesRead) mutable -> kj::Promise<Result> {
+            if (bytesRead < lengthBytes) {
                 return Result(nullptr);
             }
             const std::size_t length = fromField(*field);
--- a/Source/Peer/packedstream.h
+++ b/Source/Peer/packedstream.h
@@ -14,7 +14,7 @@
 
 namespace Yokepond::Peer {
 
-/// Bytes and messages over all connections of a process; written by the RPC thread, read by any.
+/// Counters over all connections of the process. The RPC thread writes them, any thread may read them.
 struct LinkCounters
 {
     std::atomic<std::uint64_t> bytesSent = 0;
@@ -23,11 +23,11 @@
     std::atomic<std::uint64_t> framesReceived = 0;
 };
 
-/// A frame is a four-byte little-endian length and that many bytes of packed message.
+/// Reads and writes frames. A frame is a four-byte little-endian length and that many bytes of packed message.
 class PackedStream final : public capnp::MessageStream
 {
 public:
-    /// Both must outlive the stream.
+    /// @p stream and @p counters must outlive this object.
     PackedStream(kj::AsyncIoStream &stream, LinkCounters &counters);
 
     kj::Promise<kj::Maybe<capnp::MessageReaderAndFds>> tryReadMessage(kj::ArrayPtr<kj::AutoCloseFd> fdSpace,
--- a/Source/Peer/peer.capnp
+++ b/Source/Peer/peer.capnp
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
 #
-# What the hosts say to each other. See docs/design/peer-protocol.md.
-# Numbers of classes, organisations and endpoints are those of the configuration; durations are in the unit named.
+# The messages between hosts. See docs/design/peer-protocol.md.
+# Numbers of classes, organisations and endpoints are those of the configuration. A field's name ends in the unit of its value.
 
 @0xd3a1c0f7b2e94a11;
 
@@ -10,36 +10,36 @@
 $Cxx.namespace("Yokepond::Peer::Wire");
 
 struct Ask {
-  request @0 :UInt64;          # the home's sequence number
+  request @0 :UInt64;          # sequence number that the home assigned
   attempt @1 :UInt8;
   shard @2 :UInt32;
   requestClass @3 :UInt32;
   organisation @4 :UInt32;
-  ageMs @5 :UInt32;            # since the caller's request arrived
-  remainingMs @6 :UInt32;      # until its deadline
-  sentAtUs @7 :UInt64;         # the home's monotonic clock; comes back in the grant's startBy
-  promptTokens @8 :UInt32;
-  prefix @9 :List(UInt64);
-  avoid @10 :UInt32;           # endpoint of the failed attempt, 0 for none
-  rank @11 :Int16;             # of the request; 1 is the highest, 0: that of its class
-  expectedTokens @12 :UInt32;  # of the answer, 0 if not known
-  prefixTokens @13 :List(UInt32); # tokens of the prompt up to the end of each entry of prefix; may be empty
-}
-
-struct RateWord {
-  knowledge @0 :UInt8;         # 0: none
+  ageMs @5 :UInt32;            # time since the caller's request arrived
+  remainingMs @6 :UInt32;      # time until the request's deadline
+  sentAtUs @7 :UInt64;         # home's monotonic clock; the grant's startByUs refers to the same clock
+  promptTokens @8 :UInt32;     # estimated length of the prompt
+  prefix @9 :List(UInt64);     # hashes of the prompt's prefixes, the shortest first
+  avoid @10 :UInt32;           # endpoint of the failed attempt; 0 for none
+  rank @11 :Int16;             # rank of the request: 1 is the highest, 0 stands for the rank of its class
+  expectedTokens @12 :UInt32;  # expected length of the response; 0 if not known
+  prefixTokens @13 :List(UInt32); # prompt tokens up to the end of each entry of prefix; may be empty
+}
+
+struct RateWord {              # the request rate that an endpoint advertised
+  knowledge @0 :UInt8;         # 0 if the rate is not known
   perSecond @1 :Float64;       # requests that the endpoint takes from all hosts together
-  ageMs @2 :UInt32;            # since the endpoint said it
+  ageMs @2 :UInt32;            # time since the endpoint advertised the rate
 }
 
 struct Grant {
   request @0 :UInt64;
   attempt @1 :UInt8;
   endpoint @2 :UInt32;
-  startByUs @3 :UInt64;        # on the home's monotonic clock
-  pressure @4 :UInt32;         # of the shard: asks queued and running per thousand of its endpoints' windows
-  keeper @5 :UInt32;           # endpoint from which the run's own takes what is kept of the prompt, 0 for none
-  rate @6 :RateWord;           # absent: none is known
+  startByUs @3 :UInt64;        # latest time at which the run may start, on the home's monotonic clock
+  pressure @4 :UInt32;         # load of the shard: asks queued and running per thousand slots of its endpoints
+  keeper @5 :UInt32;           # endpoint from which the granted one fetches the cached part of the prompt; 0 for none
+  rate @6 :RateWord;           # absent if no rate is known
 }
 
 struct Refusal {
@@ -67,10 +67,10 @@
   shard @2 :UInt32;
   endpoint @3 :UInt32;
   result @4 :UInt8;
-  firstTokenMs @5 :UInt32;     # from the start of the run; 0: none came
-  gapUs @6 :UInt32;            # mean gap between tokens
+  firstTokenMs @5 :UInt32;     # time from the start of the run to the first token; 0 if none came
+  gapUs @6 :UInt32;            # mean time between tokens
   tokens @7 :UInt32;
-  longestGapUs @8 :UInt32;     # between tokens
+  longestGapUs @8 :UInt32;     # longest time between two tokens
 }
 
 struct RunningPermit {
@@ -94,15 +94,15 @@
   dataCentre @5 :Text;
   operatorAddress @6 :Text;
   callerAddress @7 :Text;
-  milliCores @8 :UInt32;       # processor it may use; 0 if not known
+  milliCores @8 :UInt32;       # processor capacity that the host may use, in thousandths of a core; 0 if not known
 }
 
 struct Probe {
   sequence @0 :UInt32;
   members @1 :List(Member);
-  revision @2 :UInt64;
-  digest @3 :UInt64;           # of the sender's member table
-  target @4 :Text;             # set when the receiver is asked to probe another member
+  revision @2 :UInt64;         # revision of the sender's configuration
+  digest @3 :UInt64;           # digest of the sender's member table
+  target @4 :Text;             # member to probe on the sender's behalf; absent for a probe of the receiver
 }
 
 struct Acknowledgement {
@@ -110,27 +110,27 @@
   members @1 :List(Member);
   revision @2 :UInt64;
   digest @3 :UInt64;
-  target @4 :Text;             # set when the acknowledgement is another member's, passed on
+  target @4 :Text;             # member that acknowledged, if the acknowledgement is passed on
 }
 
 struct ChangesRequest {
-  since @0 :UInt64;
-  endpointsSince @1 :UInt64;   # where endpoints have versions apart from the configuration's
-  endpointsOnly @2 :Bool;      # the configuration has been asked for elsewhere
+  since @0 :UInt64;            # revision of the sender's configuration
+  endpointsSince @1 :UInt64;   # revision of its endpoints, where they have revisions of their own
+  endpointsOnly @2 :Bool;      # the sender has requested the configuration from another host
 }
 
 struct Changes {
   snapshot @0 :Text;           # JSON, empty unless the log does not reach back far enough
   log @1 :List(Text);          # JSON change records in order
   packed @2 :Data;             # a platform's records, compressed
-  base @3 :UInt64;             # version of the configuration against which they are, 0: against none
+  base @3 :UInt64;             # version of the configuration that packed is compressed against; 0 for none
 }
 
-struct FollowStore {           # the store does not answer the sender, whose duty it is to follow it
+struct FollowStore {           # the store does not answer the sender, which has the duty of following it
 }
 
 struct FollowAnswer {
-  follows @0 :Bool;            # false: it does not answer the receiver of FollowStore either
+  follows @0 :Bool;            # false if the store does not answer the receiver of FollowStore either
 }
 
 struct Gather {
@@ -170,32 +170,32 @@
 }
 
 struct UsageCounts {
-  clock @0 :Int64;             # of the sender, microseconds since the Unix epoch
+  clock @0 :Int64;             # the sender's clock, microseconds since the Unix epoch
   entries @1 :List(UsageEntry);
 }
 
 struct UsageReceived {
-  clock @0 :Int64;             # the median over all hosts
-  fixedUpTo @1 :Int64;         # newest window whose counts are in the store, 0 if not known
-  holder @2 :Bool;             # the sender is the one that reports
+  clock @0 :Int64;             # median of all hosts' clocks
+  fixedUpTo @1 :Int64;         # newest window whose counts are in the store; 0 if not known
+  holder @2 :Bool;             # whether the sender is the host that reports usage
 }
 
 struct RunBroke {
   work @0 :UInt64;             # hash of organisation, method, path, query and body
   endpoint @1 :UInt32;
-  justBegan @2 :Bool;          # its answer had begun, and hardly more
+  justBegan @2 :Bool;          # the response had only just begun, or is not streamed and does not show when it begins
 }
 
 struct QuarantineEntry {
   work @0 :UInt64;
-  round @1 :UInt32;            # grows each time that it is held
-  held @2 :Bool;
-  firstEndingMs @3 :UInt32;    # ago
-  leftMs @4 :UInt32;
+  round @1 :UInt32;            # grows each time that the work is quarantined
+  held @2 :Bool;               # false if the work was cleared, since a run of it completed
+  firstEndingMs @3 :UInt32;    # time since the first crash that was counted
+  leftMs @4 :UInt32;           # time until the entry expires
 }
 
 struct QuarantineNews {
-  digest @0 :UInt64;           # of all that the sender believes
+  digest @0 :UInt64;           # digest of all of the sender's entries
   entries @1 :List(QuarantineEntry);
 }
 
@@ -203,8 +203,8 @@
   shard @0 :UInt32;
   endpoint @1 :UInt32;
   rate @2 :RateWord;
-  leavesForMs @3 :UInt32;      # it has said that it leaves, and is taken to for so long; 0: not
-  restsForMs @4 :UInt32;       # for so long it takes no request of the sender; 0: it may
+  leavesForMs @3 :UInt32;      # time for which the endpoint is considered leaving; 0 if it is not
+  restsForMs @4 :UInt32;       # remaining cooldown, in which the endpoint takes no request of the sender; 0 if there is none
 }
 
 struct Message {
@@ -235,11 +235,11 @@
 }
 
 interface Session {
-  # What the receiver has to say to the sender by the time it has handled the messages comes back with the return.
+  # Delivers messages. The result holds those that the receiver has for the sender when it has handled the delivered ones.
   post @0 (messages :List(Message)) -> (messages :List(Message));
 }
 
 interface Host {
-  # Opens a one-way session; the other way has a connection of its own.
+  # Opens a session for messages to this host. Messages in the other direction have a connection of their own.
   connect @0 (name :Text, incarnation :UInt64, address :Text) -> (session :Session, name :Text, incarnation :UInt64);
 }
--- a/Source/Scaling/scaler.cpp
+++ b/Source/Scaling/scaler.cpp
@@ -23,38 +23,40 @@
 using Json = nlohmann::json;
 using Lease::WriteResult;
 
-/// The records of the endpoints that a pool began with have come when their number stands for so long.
-constexpr Duration basesStand = std::chrono::milliseconds(1500);
-/// An order is repeated if the endpoints are not there so long after they should serve.
-constexpr Duration repeatAfter = std::chrono::seconds(6);
-/// While requests run, endpoints of one data centre at a time are given up: what they keep of prompts goes with them.
-constexpr Duration betweenShrinks = std::chrono::seconds(5);
-/// A host of the next rank takes over when orders have been needed for so long.
+/// The baselines are complete when they have not grown for this long: the records of all endpoints have arrived by then.
+constexpr Duration baselineSettleTime = std::chrono::milliseconds(1500);
+/// An order is repeated if the number of endpoints is not as ordered this long after they should serve.
+constexpr Duration repeatDelay = std::chrono::seconds(6);
+/// Minimum time between orders that give up endpoints while requests run. Only one data centre is reduced at a time, because the
+/// prompt prefixes that its endpoints cache are lost.
+constexpr Duration shrinkInterval = std::chrono::seconds(5);
+/// A host takes over from another holder when orders have been needed for this long, and takeOverStep longer for each rank.
 constexpr Duration takeOverAfter = std::chrono::seconds(2);
 constexpr Duration takeOverStep = std::chrono::seconds(6);
 constexpr Duration readPeriod = std::chrono::milliseconds(1000);
 constexpr Duration retryPeriod = std::chrono::milliseconds(700);
-constexpr Duration leastOrderTime = std::chrono::milliseconds(500);
+/// An order is not sent if the lease allows less time than this.
+constexpr Duration minOrderTimeout = std::chrono::milliseconds(500);
 
 const DataCentreCounts &countsOf(const ScaledPool &pool, const std::string &dataCentre)
 {
     return *std::ranges::find(pool.counts, dataCentre, &DataCentreCounts::dataCentre);
 }
 
-bool sameSubject(const Order &left, const Order &right)
+bool isSameTarget(const Order &left, const Order &right)
 {
     return left.pool == right.pool && left.dataCentre == right.dataCentre && left.preemptible == right.preemptible;
 }
 
 } // namespace
 
-std::string rowText(const ScalingRow &row)
+std::string serializeRow(const ScalingRow &row)
 {
-    Json bases = Json::array();
-    for (const PoolBase &base : row.bases) {
-        bases.push_back({{"pool", base.pool}, {"endpoints", base.endpoints}});
+    Json baselines = Json::array();
+    for (const PoolBaseline &baseline : row.baselines) {
+        baselines.push_back({{"pool", baseline.pool}, {"endpoints", baseline.endpoints}});
     }
-    const Json json = {{"holder", row.holder}, {"host", row.host}, {"bases", std::move(bases)}};
+    const Json json = {{"holder", row.holder}, {"host", row.host}, {"bases", std::move(baselines)}};
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -63,12 +65,13 @@
     const Json json = Json::parse(text, nullptr, false);
     try {
         ScalingRow row {json.at("holder").get<std::uint64_t>(), json.at("host").get<std::string>(), {}};
-        for (const Json &base : json.at("bases")) {
-            row.bases.push_back({base.at("pool").get<std::string>(), base.at("endpoints").get<std::uint32_t>()});
+        for (const Json &baseline : json.at("bases")) {
+            row.baselines.push_back({baseline.at("pool").get<std::string>(), baseline.at("endpoints").get<std::uint32_t>()});
         }
         return row;
     } catch (const Json::exception &error) {
-        return Base::makeError(Base::ErrorKind::InvalidValue, fmt::format("the row of scaling: {}", error.what()));
+        return Base::makeError(Base::ErrorKind::InvalidValue,
+                               fmt::format("the stored row of the scaling duty is malformed: {}", error.what()));
     }
 }
 
@@ -80,64 +83,65 @@
 {
 }
 
-std::uint32_t Scaler::baseOf(const std::string &pool) const
+std::uint32_t Scaler::baselineOf(const std::string &pool) const
 {
-    const auto base = std::ranges::find(m_bases, pool, &PoolBase::pool);
-    return base == m_bases.end() ? 0 : base->endpoints;
+    const auto baseline = std::ranges::find(m_baselines, pool, &PoolBaseline::pool);
+    return baseline == m_baselines.end() ? 0 : baseline->endpoints;
 }
 
-/// Until something has been ordered, what serves is what the operators provided. Pools that come later are taken in too.
-void Scaler::noteBases(Instant now, const std::vector<ScaledPool> &pools)
+/// Takes the serving endpoints as those that the operators provided, as long as nothing has been ordered. A pool that appears
+/// later gets a baseline when it is first seen.
+void Scaler::updateBaselines(Instant now, const std::vector<ScaledPool> &pools)
 {
     for (const ScaledPool &pool : pools) {
-        const auto base = std::ranges::find(m_bases, pool.pool, &PoolBase::pool);
+        const auto baseline = std::ranges::find(m_baselines, pool.pool, &PoolBaseline::pool);
         const std::uint32_t total = totalOf(pool);
-        if (base == m_bases.end() && total > 0) {
-            m_bases.push_back({pool.pool, total});
-            m_basesGrew = now;
-        } else if (base != m_bases.end() && !m_rowHasBases && total > base->endpoints) {
-            base->endpoints = total;
-            m_basesGrew = now;
+        if (baseline == m_baselines.end() && total > 0) {
+            m_baselines.push_back({pool.pool, total});
+            m_baselinesGrewAt = now;
+        } else if (baseline != m_baselines.end() && !m_rowHasBaselines && total > baseline->endpoints) {
+            baseline->endpoints = total;
+            m_baselinesGrewAt = now;
         }
     }
 }
 
-bool Scaler::mayRepeat(Instant now, const Order &order, Duration start) const
+bool Scaler::maySend(Instant now, const Order &order, Duration start) const
 {
-    const auto sent = std::ranges::find_if(m_sent, [&](const Sent &entry) { return sameSubject(entry.order, order); });
-    return sent == m_sent.end() || sent->order.count != order.count || now - sent->at >= start + repeatAfter;
+    const auto sent = std::ranges::find_if(m_sent, [&](const SentOrder &entry) { return isSameTarget(entry.order, order); });
+    return sent == m_sent.end() || sent->order.count != order.count || now - sent->at >= start + repeatDelay;
 }
 
-std::vector<Order> Scaler::wantedOrders(Instant now, const std::vector<ScaledPool> &pools, bool idle)
+std::vector<Order> Scaler::dueOrders(Instant now, const std::vector<ScaledPool> &pools, bool idle)
 {
-    std::vector<Order> wanted;
+    std::vector<Order> due;
     bool shrinks = false;
     for (const ScaledPool &pool : pools) {
-        for (const Order &order : planFor(pool, baseOf(pool.pool))) {
+        for (const Order &order : planOrders(pool, baselineOf(pool.pool))) {
             const DataCentreCounts &counts = countsOf(pool, order.dataCentre);
-            const std::uint32_t there = order.preemptible ? counts.preemptible : counts.regular;
-            if (there == order.count || !mayRepeat(now, order, pool.terms.start)) {
+            const std::uint32_t current = order.preemptible ? counts.preemptible : counts.regular;
+            if (current == order.count || !maySend(now, order, pool.terms.start)) {
                 continue;
             }
-            const bool shrink = order.count < there;
-            const bool mayShrink = idle || (!shrinks && now - m_lastShrink >= betweenShrinks);
+            const bool shrink = order.count < current;
+            const bool mayShrink = idle || (!shrinks && now - m_lastShrink >= shrinkInterval);
             if (!shrink || mayShrink) {
                 shrinks = shrinks || shrink;
-                wanted.push_back(order);
+                due.push_back(order);
             }
         }
     }
-    return wanted;
+    return due;
 }
 
 std::vector<ScalerAction> Scaler::tick(Instant now, std::optional<std::size_t> rank, const std::vector<ScaledPool> &pools,
                                        bool idle)
 {
-    if (pools.empty() || m_busy || now < m_nextTry || (!rank && !m_lease.isHeld())) {
+    if (pools.empty() || m_busy || now < m_nextAttempt || (!rank && !m_lease.isHeld())) {
         return {};
     }
-    noteBases(now, pools);
-    if (m_bases.empty() || now - m_basesGrew < basesStand) {
+    updateBaselines(now, pools);
+    if (m_baselines.empty() || now - m_baselinesGrewAt < baselineSettleTime) {
         return {};
     }
     if (!m_rowKnown && now >= m_nextRead) {
@@ -145,13 +149,13 @@
         m_busy = true;
         return {ReadRow {}};
     }
-    const std::vector<Order> wanted = wantedOrders(now, pools, idle);
-    if (!m_rowKnown || wanted.empty()) {
+    const std::vector<Order> due = dueOrders(now, pools, idle);
+    if (!m_rowKnown || due.empty()) {
         m_neededSince.reset();
         return {};
     }
     if (m_options.dryRun) {
-        for (const Order &order : wanted) {
+        for (const Order &order : due) {
             m_sent.push_back({order, now});
             Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointsOrdered,
                       {{"pool", order.pool},
@@ -163,19 +167,19 @@
         return {};
     }
     m_neededSince = m_neededSince.value_or(now);
-    const Duration patience = takeOverAfter + static_cast<std::int64_t>(rank.value_or(0)) * takeOverStep;
-    const bool free = m_lease.expectedVersion() == 0 && rank == std::optional<std::size_t>(0);
-    if (!m_lease.isHeld() && !free && now - *m_neededSince < patience) {
+    const Duration takeOverDelay = takeOverAfter + static_cast<std::int64_t>(rank.value_or(0)) * takeOverStep;
+    const bool unclaimed = m_lease.expectedVersion() == 0 && rank == std::optional<std::size_t>(0);
+    if (!m_lease.isHeld() && !unclaimed && now - *m_neededSince < takeOverDelay) {
         return {};
     }
     std::optional<ScalerAction> action;
     const auto fence = m_lease.fence(now);
     const Duration timeout = m_lease.timeToAct(now);
-    if (fence && timeout >= leastOrderTime) {
-        action = SendOrder {*fence, wanted.front(), timeout};
+    if (fence && timeout >= minOrderTimeout) {
+        action = SendOrder {*fence, due.front(), timeout};
     } else if (m_lease.mayWrite(now)) {
         m_lease.writing(now);
-        action = WriteRow {m_lease.expectedVersion(), rowText({m_incarnation, m_host, m_bases})};
+        action = WriteRow {m_lease.expectedVersion(), serializeRow({m_incarnation, m_host, m_baselines})};
     } else if (now >= m_nextRead) {
         m_nextRead = now + readPeriod;
         action = ReadRow {};
@@ -184,7 +188,7 @@
     return action ? std::vector {std::move(*action)} : std::vector<ScalerAction> {};
 }
 
-void Scaler::takeRow(Instant now, const Lease::StoredRow &stored)
+void Scaler::applyRow(Instant now, const Lease::StoredRow &stored)
 {
     m_rowKnown = true;
     auto row = stored.version == 0 ? absl::StatusOr<ScalingRow>(ScalingRow {}) : parseScalingRow(stored.value);
@@ -195,13 +199,13 @@
     }
     m_lease.seen(now, {stored.version, row->holder});
     m_rowHost = row->host;
-    for (const PoolBase &base : row->bases) {
-        m_rowHasBases = true;
-        const auto known = std::ranges::find(m_bases, base.pool, &PoolBase::pool);
-        if (known == m_bases.end()) {
-            m_bases.push_back(base);
+    for (const PoolBaseline &baseline : row->baselines) {
+        m_rowHasBaselines = true;
+        const auto known = std::ranges::find(m_baselines, baseline.pool, &PoolBaseline::pool);
+        if (known == m_baselines.end()) {
+            m_baselines.push_back(baseline);
         } else {
-            *known = base;
+            *known = baseline;
         }
     }
     if (std::exchange(m_wasHolder, m_lease.isHeld()) && !m_wasHolder) {
@@ -215,7 +219,7 @@
 {
     m_busy = false;
     if (row) {
-        takeRow(now, *row);
+        applyRow(now, *row);
     }
 }
 
@@ -224,14 +228,14 @@
     m_busy = false;
     m_lease.written(result, version);
     if (result != WriteResult::Done) {
-        m_nextTry = now + retryPeriod;
+        m_nextAttempt = now + retryPeriod;
         m_nextRead = now;
         if (row) {
-            takeRow(now, *row);
+            applyRow(now, *row);
         }
         return;
     }
-    m_rowHasBases = true;
+    m_rowHasBaselines = true;
     m_rowHost = m_host;
     if (!std::exchange(m_wasHolder, true)) {
         Base::log(Base::LogLevel::Info, Base::LogEvent::LeaseTaken,
@@ -243,14 +247,15 @@
 {
     m_busy = false;
     if (result == OrderResult::TryAgain) {
-        m_nextTry = now + retryPeriod;
+        m_nextAttempt = now + retryPeriod;
         return;
     }
-    // Regular endpoints that go make room below the limit: what was cut by it is ordered again at once.
-    std::erase_if(m_sent, [&](const Sent &entry) {
+    // Regular endpoints that are given up make room below the pool's limit. The preemptible ones that the limit cut off are
+    // therefore ordered again at once.
+    std::erase_if(m_sent, [&](const SentOrder &entry) {
         const bool hasRoomNow
             = !order.preemptible && entry.order.pool == order.pool && entry.order.dataCentre == order.dataCentre;
-        return sameSubject(entry.order, order) || hasRoomNow;
+        return isSameTarget(entry.order, order) || hasRoomNow;
     });
     m_sent.push_back({order, now});
     if (!order.preemptible) {
@@ -265,8 +270,8 @@
 
 ScalerView Scaler::view(Instant now) const
 {
-    ScalerView view {m_lease.isHeld(), m_lease.fence(now).value_or(0), m_rowHost, m_bases, {}};
-    std::ranges::transform(m_sent, std::back_inserter(view.orders), &Sent::order);
+    ScalerView view {m_lease.isHeld(), m_lease.fence(now).value_or(0), m_rowHost, m_baselines, {}};
+    std::ranges::transform(m_sent, std::back_inserter(view.orders), &SentOrder::order);
     return view;
 }
 
--- a/Source/Scaling/scaler.h
+++ b/Source/Scaling/scaler.h
@@ -21,41 +21,45 @@
 
 namespace Yokepond::Scaling {
 
-/// What a pool's operators provided before anything was ordered.
-struct PoolBase
+/// Number of endpoints that a pool's operators had provided before the first order.
+struct PoolBaseline
 {
     std::string pool;
     std::uint32_t endpoints = 0;
 
-    bool operator==(const PoolBase &) const = default;
+    bool operator==(const PoolBaseline &) const = default;
 };
 
-/// The row of the store that holds the lease of the duty, and what a successor must know.
+/// The row of the store that holds the lease of the duty and what the next holder needs to know.
 struct ScalingRow
 {
-    std::uint64_t holder = 0;
-    std::string host;
-    std::vector<PoolBase> bases;
+    std::uint64_t holder = 0; ///< incarnation of the process that wrote the row
+    std::string host; ///< host of that process
+    std::vector<PoolBaseline> baselines;
 
     bool operator==(const ScalingRow &) const = default;
 };
 
-std::string rowText(const ScalingRow &row);
+/// Returns @p row as JSON text.
+std::string serializeRow(const ScalingRow &row);
 
-/// Fails with ErrorKind::InvalidValue.
+/// Reads the text that serializeRow() wrote. Fails with ErrorKind::InvalidValue.
 absl::StatusOr<ScalingRow> parseScalingRow(std::string_view text);
 
+/// Read the row and pass the result to Scaler::onRowRead().
 struct ReadRow
 {
 };
 
+/// Write the row if it has the expected version, and pass the result to Scaler::onRowWritten().
 struct WriteRow
 {
     std::uint64_t expectedVersion = 0;
     std::string value;
 };
 
-/// After @ref within the call must be cut so that nothing of it arrives later.
+/// Send an order to the platform and pass the result to Scaler::onOrdered(). The connection must be reset after @ref timeout, so
+/// that the order cannot arrive later.
 struct SendOrder
 {
     std::uint64_t fence = 0;
@@ -67,8 +71,8 @@
 
 enum class OrderResult {
     Accepted,
-    NoneAvailable, ///< the platform has none of that kind there at present
-    TryAgain,
+    NoneAvailable, ///< the platform has no endpoints of that kind in that data centre at present
+    TryAgain, ///< no response, or the platform cannot take the order now
 };
 
 inline constexpr Base::NameTable<OrderResult, 3> orderResultNames = {{
@@ -77,34 +81,35 @@
     {OrderResult::TryAgain, "try-again"},
 }};
 
-/// What an operator sees.
+/// State of a Scaler, as operators see it.
 struct ScalerView
 {
-    bool holder = false;
-    std::uint64_t fence = 0; ///< 0: the right to act has run out
-    std::string host; ///< that wrote the row last, as far as this host knows
-    std::vector<PoolBase> bases;
-    std::vector<Order> orders; ///< the latest of each data centre and kind
+    bool holder = false; ///< whether this host holds the duty
+    std::uint64_t fence = 0; ///< fencing token; 0 if the lease has expired
+    std::string host; ///< last writer of the row, as far as this host knows
+    std::vector<PoolBaseline> baselines;
+    std::vector<Order> orders; ///< latest order for each data centre and kind
 };
 
 struct ScalerOptions
 {
     Lease::LeaseTerms lease;
-    bool dryRun = false; ///< only tells what it would order
+    bool dryRun = false; ///< orders are logged and not sent
 };
 
-/// Pure state machine: one on each host.
+/// Decides for one host whether it holds the scaling duty, and which orders are due. It is a pure state machine: tick() returns
+/// actions for the caller to carry out, and their results come back through the on...() functions.
 class Scaler
 {
 public:
     Scaler(const ScalerOptions &options, std::string host, std::uint64_t incarnation);
 
-    /// @p rank: how many hosts go before this one for the duty; none if it is not to take it. @p idle: no request has begun
-    /// lately.
+    /// Returns the actions that are due. @p rank is the number of hosts that come before this one for the duty, or nothing if it
+    /// must not take it. @p idle is true if no request has begun recently.
     std::vector<ScalerAction> tick(Base::Instant now, std::optional<std::size_t> rank, const std::vector<ScaledPool> &pools,
                                    bool idle);
 
-    /// Version 0: there is no row; nothing: the store did not answer.
+    /// Takes the result of a read. The version is 0 if there is no row; @p row is empty if the store did not answer.
     void onRowRead(Base::Instant now, const std::optional<Lease::StoredRow> &row);
     void onRowWritten(Base::Instant now, Lease::WriteResult result, std::uint64_t version,
                       const std::optional<Lease::StoredRow> &row);
@@ -114,17 +119,17 @@
     ScalerView view(Base::Instant now) const;
 
 private:
-    struct Sent
+    struct SentOrder
     {
         Order order;
         Base::Instant at {};
     };
 
-    std::vector<Order> wantedOrders(Base::Instant now, const std::vector<ScaledPool> &pools, bool idle);
-    bool mayRepeat(Base::Instant now, const Order &order, Base::Duration start) const;
-    void noteBases(Base::Instant now, const std::vector<ScaledPool> &pools);
-    std::uint32_t baseOf(const std::string &pool) const;
-    void takeRow(Base::Instant now, const Lease::StoredRow &row);
+    std::vector<Order> dueOrders(Base::Instant now, const std::vector<ScaledPool> &pools, bool idle);
+    bool maySend(Base::Instant now, const Order &order, Base::Duration start) const;
+    void updateBaselines(Base::Instant now, const std::vector<ScaledPool> &pools);
+    std::uint32_t baselineOf(const std::string &pool) const;
+    void applyRow(Base::Instant now, const Lease::StoredRow &row);
 
     ScalerOptions m_options;
     std::string m_host;
@@ -132,15 +137,15 @@
     Lease::Lease m_lease;
     std::string m_rowHost;
     bool m_rowKnown = false;
-    bool m_rowHasBases = false;
-    std::vector<PoolBase> m_bases;
-    Base::Instant m_basesGrew {};
-    std::vector<Sent> m_sent; ///< the latest order of each data centre and kind
-    std::optional<Base::Instant> m_neededSince;
+    bool m_rowHasBaselines = false;
+    std::vector<PoolBaseline> m_baselines;
+    Base::Instant m_baselinesGrewAt {};
+    std::vector<SentOrder> m_sent; ///< latest order for each data centre and kind
+    std::optional<Base::Instant> m_neededSince; ///< first time at which orders were needed
     Base::Instant m_lastShrink {};
     Base::Instant m_nextRead {};
-    Base::Instant m_nextTry {};
-    bool m_busy = false;
+    Base::Instant m_nextAttempt {}; ///< earliest time for an action after a failed one
+    bool m_busy = false; ///< an action is under way
     bool m_wasHolder = false;
 };
 
--- a/Source/Scaling/scalingplan.cpp
+++ b/Source/Scaling/scalingplan.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-/// Of the capacity that was provided: with less than this serving, regular endpoints are ordered in the place of preemptible ones
-/// that do not come.
-constexpr double leastShareServing = 0.7;
+/// Share of the provided capacity. When less than this serves, regular endpoints are ordered in place of the preemptible ones
+/// that are not available.
+constexpr double minServingShare = 0.7;
 
-std::uint32_t preemptibleOf(const ScaledPool &pool)
+std::uint32_t countPreemptible(const ScaledPool &pool)
 {
     return std::accumulate(pool.counts.begin(), pool.counts.end(), 0U,
                            [](std::uint32_t sum, const DataCentreCounts &counts) { return sum + counts.preemptible; });
 }
 
-std::uint32_t dividedUp(std::uint32_t whole, std::size_t parts)
+std::uint32_t divideRoundingUp(std::uint32_t whole, std::size_t parts)
 {
     return static_cast<std::uint32_t>((whole + parts - 1) / parts);
 }
@@ -57,34 +57,36 @@
     });
 }
 
-std::vector<Order> planFor(const ScaledPool &pool, std::uint32_t base)
+std::vector<Order> planOrders(const ScaledPool &pool, std::uint32_t baseline)
 {
     const std::size_t dataCentres = pool.counts.size();
-    if (base == 0 || dataCentres < 2) {
+    if (baseline == 0 || dataCentres < 2) {
         return {};
     }
-    const double surplus = static_cast<double>(dataCentres) / static_cast<double>(dataCentres - 1);
-    if (pool.terms.preemptiblePrice * surplus >= 1.0) {
+    const double surplusFactor = static_cast<double>(dataCentres) / static_cast<double>(dataCentres - 1);
+    if (pool.terms.preemptiblePrice * surplusFactor >= 1.0) {
         return {};
     }
     const std::uint32_t regularFloor = std::max(1U, pool.terms.least);
     const std::uint32_t room = pool.terms.most > regularFloor ? pool.terms.most - regularFloor : 0;
-    const std::uint32_t preemptible = std::min(room, dividedUp(base, dataCentres - 1));
-    const bool enough = preemptibleOf(pool) >= std::min(base, static_cast<std::uint32_t>(preemptible * dataCentres));
-    const bool allThere
+    const std::uint32_t preemptible = std::min(room, divideRoundingUp(baseline, dataCentres - 1));
+    const bool enough = countPreemptible(pool) >= std::min(baseline, static_cast<std::uint32_t>(preemptible * dataCentres));
+    const bool allServe
         = std::ranges::all_of(pool.counts, [&](const DataCentreCounts &counts) { return counts.preemptible >= preemptible; });
-    // The limit counts both kinds: regular endpoints first make room for the rest of the preemptible ones, and go when these
-    // serve. When they went at once, a holder that was cut off then left 90 engines without any reserve, and a withdrawal 60.
-    const std::uint32_t besideAll = std::max(regularFloor, pool.terms.most - preemptible);
-    const bool tooFew = static_cast<double>(totalOf(pool)) < leastShareServing * base;
+    // The pool's limit counts both kinds. Regular endpoints are first given up only as far as the missing preemptible ones need
+    // room, and further when these serve. When all were given up at once and the holder was cut off right then, 90 engines
+    // remained without any reserve, and 60 after a withdrawal.
+    const std::uint32_t regularBesidePreemptible = std::max(regularFloor, pool.terms.most - preemptible);
+    const bool tooFew = static_cast<double>(totalOf(pool)) < minServingShare * baseline;
     std::vector<Order> orders;
     for (const DataCentreCounts &counts : pool.counts) {
         orders.push_back({pool.pool, counts.dataCentre, true, preemptible});
         if (tooFew) {
-            orders.push_back({pool.pool, counts.dataCentre, false, dividedUp(base, dataCentres)});
+            orders.push_back({pool.pool, counts.dataCentre, false, divideRoundingUp(baseline, dataCentres)});
         } else if (enough) {
-            const std::uint32_t kept = allThere ? regularFloor : std::max(regularFloor, std::min(counts.regular, besideAll));
-            orders.push_back({pool.pool, counts.dataCentre, false, kept});
+            const std::uint32_t regular
+                = allServe ? regularFloor : std::max(regularFloor, std::min(counts.regular, regularBesidePreemptible));
+            orders.push_back({pool.pool, counts.dataCentre, false, regular});
         }
     }
     return orders;
--- a/Source/Scaling/scalingplan.h
+++ b/Source/Scaling/scalingplan.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// How many endpoints of which kind a pool should have in each data centre.
+/// Computes how many regular and how many preemptible endpoints a pool should have in each data centre.
 
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace Yokepond::Scaling {
 
-/// What serves in one data centre, as the platform's records tell it; leaving endpoints do not count.
+/// Number of endpoints that serve in one data centre according to the platform's records. Drained ones are not counted.
 struct DataCentreCounts
 {
     std::string dataCentre;
@@ -24,15 +24,15 @@
     bool operator==(const DataCentreCounts &) const = default;
 };
 
-/// One pool whose number of endpoints can be set.
+/// A pool whose number of endpoints can be set.
 struct ScaledPool
 {
     std::string pool;
     Configuration::ScalingTerms terms;
-    std::vector<DataCentreCounts> counts; ///< of each data centre that has a price
+    std::vector<DataCentreCounts> counts; ///< one entry for each data centre that has a price
 };
 
-/// An absolute number for one kind in one data centre.
+/// Asks the platform for @ref count endpoints of one kind in one data centre. The count is absolute.
 struct Order
 {
     std::string pool;
@@ -43,16 +43,19 @@
     bool operator==(const Order &) const = default;
 };
 
-/// All pools of @p catalogue that can be scaled.
+/// Returns all pools of @p catalogue that can be scaled.
 std::vector<ScaledPool> scaledPools(const Configuration::Catalogue &catalogue);
 
+/// Returns the number of endpoints of both kinds in all data centres.
 std::uint32_t totalOf(const ScaledPool &pool);
 
-/// What @p pool should have, given that its operators provided @p base endpoints; nothing where their numbers stay theirs.
+/// Returns the orders that bring @p pool to the numbers it should have, given that its operators provided @p baseline endpoints.
+/// Returns none if preemptible endpoints save nothing, or cannot be spread over several data centres.
 ///
-/// The capacity that was provided is kept at the lower price: as many preemptible endpoints that, when all of any one data centre
-/// are withdrawn, the others make up for it, and one regular endpoint a data centre. Regular ones beyond that go only when the
-/// preemptible ones serve, and come back when those cannot be had.
-std::vector<Order> planFor(const ScaledPool &pool, std::uint32_t base);
+/// The pool keeps the capacity that was provided, at the lower price of preemptible endpoints. There are enough of them that the
+/// other data centres still have that capacity when all preemptible endpoints of any one data centre are withdrawn. Each data
+/// centre also keeps one regular endpoint, or the configured minimum. Further regular endpoints are given up only when the
+/// preemptible ones serve, and are ordered again when preemptible ones are not available.
+std::vector<Order> planOrders(const ScaledPool &pool, std::uint32_t baseline);
 
 } // namespace Yokepond::Scaling
--- a/Source/Usage/fleetclock.cpp
+++ b/Source/Usage/fleetclock.cpp
@@ -10,29 +10,29 @@
 
 namespace {
 
-/// A message between hosts takes less, and a twentieth of this moves no count of a window of seconds.
-constexpr Base::Duration leastCorrection = std::chrono::milliseconds(50);
+/// Messages between hosts take less than this, and an offset of a twentieth of it does not affect counts in windows of seconds.
+constexpr Base::Duration minCorrection = std::chrono::milliseconds(50);
 
 } // namespace
 
 FleetClock::FleetClock(Base::Instant now, FleetTime timeOfDay)
-    : m_atEpoch(timeOfDay - now.time_since_epoch().count())
+    : m_offset(timeOfDay - now.time_since_epoch().count())
 {
 }
 
 FleetTime FleetClock::at(Base::Instant instant) const
 {
-    return m_atEpoch + instant.time_since_epoch().count();
+    return m_offset + instant.time_since_epoch().count();
 }
 
 Base::Duration FleetClock::correct(Base::Instant now, FleetTime median)
 {
-    const Base::Duration by(median - at(now));
-    if (std::chrono::abs(by) < leastCorrection) {
+    const Base::Duration correction(median - at(now));
+    if (std::chrono::abs(correction) < minCorrection) {
         return Base::Duration::zero();
     }
-    m_atEpoch += by.count();
-    return by;
+    m_offset += correction.count();
+    return correction;
 }
 
 Base::Duration medianOffset(std::span<const Base::Duration> offsets)
--- a/Source/Usage/fleetclock.h
+++ b/Source/Usage/fleetclock.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The time of day as most hosts of the fleet see it.
+/// The time of day on which most hosts of the fleet agree.
 
 #pragma once
 
@@ -16,25 +16,26 @@
 /// Microseconds since the Unix epoch.
 using FleetTime = std::int64_t;
 
-/// Follows the host's steady clock from the time of day at its start, so that steps of the host's time of day do nothing; moved
-/// only if the fleet's median is far from it.
+/// A clock that starts with the host's time of day and then follows its monotonic clock, so that later steps of the time of day
+/// have no effect. It is corrected only if the median of the fleet's clocks differs too much.
 class FleetClock
 {
 public:
-    /// @p timeOfDay: the host's, at @p now.
+    /// @p timeOfDay is the host's time of day at @p now.
     FleetClock(Base::Instant now, FleetTime timeOfDay);
 
     FleetTime at(Base::Instant instant) const;
 
-    /// Takes over the fleet's time, as of @p now, if it differs by more than the way of a message can explain. Returns by how
-    /// much the clock was moved.
+    /// Sets the clock to @p median, the fleet's time at @p now, if they differ by more than the delay of a message can explain.
+    /// Returns the correction, or zero if there was none.
     Base::Duration correct(Base::Instant now, FleetTime median);
 
 private:
-    FleetTime m_atEpoch; ///< at the zero of the steady clock
+    FleetTime m_offset; ///< fleet time at the zero of the monotonic clock
 };
 
-/// The median of @p offsets, zero if there are none; hosts whose clocks stepped just before their start are outvoted.
+/// Returns the median of @p offsets, or zero if there are none. A few hosts whose clocks stepped just before their start do not
+/// affect it.
 Base::Duration medianOffset(std::span<const Base::Duration> offsets);
 
 } // namespace Yokepond::Usage
--- a/Source/Usage/usagecounts.cpp
+++ b/Source/Usage/usagecounts.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Hosts tell their counts each second; one that has been silent for so long says nothing of the time of day.
-constexpr Base::Duration lately = std::chrono::seconds(5);
+/// Hosts send their counts each second. The clock of one that has been silent for longer than this is not used.
+constexpr Base::Duration recentTime = std::chrono::seconds(5);
 
 } // namespace
 
@@ -54,24 +54,24 @@
 void FleetCounts::update(Base::Instant now, const std::string &host, std::uint64_t incarnation, Base::Duration clockOffset,
                          const std::vector<Peer::UsageEntry> &entries)
 {
-    Told &told = m_told[{host, incarnation}];
-    told.heard = now;
-    told.clockOffset = clockOffset;
+    ProcessCounts &process = m_processes[{host, incarnation}];
+    process.receivedAt = now;
+    process.clockOffset = clockOffset;
     std::map<WindowNumber, WindowCounts> windows;
     for (const Peer::UsageEntry &entry : entries) {
         windows[entry.window][entry.organisation] = entry.began;
     }
-    // Windows that the host has dropped meanwhile stay as they were told last.
-    windows.merge(told.windows);
-    told.windows = std::move(windows);
+    // Windows that the host has removed since then keep the counts that it sent last.
+    windows.merge(process.windows);
+    process.windows = std::move(windows);
 }
 
 WindowCounts FleetCounts::total(WindowNumber window) const
 {
     WindowCounts sum;
-    for (const Told &told : m_told | std::views::values) {
-        const auto counts = told.windows.find(window);
-        if (counts == told.windows.end()) {
+    for (const ProcessCounts &process : m_processes | std::views::values) {
+        const auto counts = process.windows.find(window);
+        if (counts == process.windows.end()) {
             continue;
         }
         for (const auto &[organisation, count] : counts->second) {
@@ -84,9 +84,9 @@
 Base::Duration FleetCounts::clockOffset(Base::Instant now) const
 {
     std::vector<Base::Duration> offsets;
-    for (const Told &told : m_told | std::views::values) {
-        if (now - told.heard <= lately) {
-            offsets.push_back(told.clockOffset);
+    for (const ProcessCounts &process : m_processes | std::views::values) {
+        if (now - process.receivedAt <= recentTime) {
+            offsets.push_back(process.clockOffset);
         }
     }
     return medianOffset(offsets);
@@ -94,16 +94,16 @@
 
 std::size_t FleetCounts::recentHosts(Base::Instant now) const
 {
-    return static_cast<std::size_t>(
-        std::ranges::count_if(m_told | std::views::values, [&](const Told &told) { return now - told.heard <= lately; }));
+    return static_cast<std::size_t>(std::ranges::count_if(
+        m_processes | std::views::values, [&](const ProcessCounts &process) { return now - process.receivedAt <= recentTime; }));
 }
 
 void FleetCounts::removeExpired(WindowNumber present)
 {
-    for (Told &told : m_told | std::views::values) {
-        std::erase_if(told.windows, [&](const auto &entry) { return entry.first + keptWindows < present; });
+    for (ProcessCounts &process : m_processes | std::views::values) {
+        std::erase_if(process.windows, [&](const auto &entry) { return entry.first + keptWindows < present; });
     }
-    std::erase_if(m_told, [](const auto &entry) { return entry.second.windows.empty(); });
+    std::erase_if(m_processes, [](const auto &entry) { return entry.second.windows.empty(); });
 }
 
 } // namespace Yokepond::Usage
--- a/Source/Usage/usagecounts.h
+++ b/Source/Usage/usagecounts.h
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// How many requests endpoints began for each organisation, by windows of the fleet's time: at one host, and over all.
+/// Counts of the requests that endpoints began for each organisation, in windows of the fleet's time: those of one host, and
+/// those of all hosts together.
 
 #pragma once
 
@@ -16,65 +17,68 @@
 
 namespace Yokepond::Usage {
 
-/// Windows are numbered from the start of 1970.
+/// Number of a window; window 0 begins at the Unix epoch.
 using WindowNumber = std::int64_t;
 
+/// Returns the window that @p time falls into.
 WindowNumber windowOf(FleetTime time, Base::Duration length);
+
 FleetTime endOf(WindowNumber window, Base::Duration length);
 
-/// One window's counts by the organisation's name.
+/// Counts of one window by the name of the organisation.
 using WindowCounts = std::map<std::string, std::uint64_t>;
 
-/// Of the windows that a host or a collector keeps: a take-over, and an outage of a few windows.
+/// Number of windows that a host or a collector keeps. They cover a change of the holder and an outage of a few windows.
 inline constexpr WindowNumber keptWindows = 6;
 
-/// What one host's endpoints began.
+/// Counts of one host: the requests that its runs' endpoints began.
 class HostCounts
 {
 public:
     void add(WindowNumber window, const std::string &organisation);
 
-    /// Of the windows after @p fixedUpTo, for a collector: they replace what the host told of them before.
+    /// Returns the counts of all windows after @p fixedUpTo. A collector replaces the host's earlier counts of these windows.
     std::vector<Peer::UsageEntry> entries(WindowNumber fixedUpTo) const;
 
-    /// Drops windows that are too old to be asked for at @p present.
+    /// Removes windows that are older than the last keptWindows before @p present.
     void removeExpired(WindowNumber present);
 
-    /// The host's clock was moved: its windows are not the fleet's.
+    /// Removes all counts, because the host's clock was corrected and they do not belong to the fleet's windows.
     void clear();
 
 private:
     std::map<WindowNumber, WindowCounts> m_windows;
 };
 
-/// What all hosts told, at one that may have to report it.
+/// Counts received from all hosts, kept by a host that may have to report them.
 class FleetCounts
 {
 public:
-    /// @p clockOffset: the host's clock less the collector's.
+    /// Takes the counts that a host sent. @p clockOffset is the host's clock minus the collector's.
     void update(Base::Instant now, const std::string &host, std::uint64_t incarnation, Base::Duration clockOffset,
                 const std::vector<Peer::UsageEntry> &entries);
 
     WindowCounts total(WindowNumber window) const;
 
-    /// Of the hosts that were heard of lately.
+    /// Returns the median clock offset of the hosts that sent counts recently.
     Base::Duration clockOffset(Base::Instant now) const;
 
-    /// Hosts that were heard of lately.
+    /// Returns the number of hosts that sent counts recently.
     std::size_t recentHosts(Base::Instant now) const;
 
+    /// Removes windows that are older than the last keptWindows before @p present.
     void removeExpired(WindowNumber present);
 
 private:
-    struct Told
+    struct ProcessCounts
     {
-        Base::Instant heard {};
+        Base::Instant receivedAt {};
         Base::Duration clockOffset {};
         std::map<WindowNumber, WindowCounts> windows;
     };
 
-    /// By host and incarnation: what a process counted stays when it has ended.
-    std::map<std::pair<std::string, std::uint64_t>, Told> m_told;
+    /// Counts by host and incarnation, so that those of a process are kept when it has ended.
+    std::map<std::pair<std::string, std::uint64_t>, ProcessCounts> m_processes;
 };
 
 } // namespace Yokepond::Usage
--- a/Source/Usage/usagereporter.cpp
+++ b/Source/Usage/usagereporter.cpp
@@ -18,16 +18,16 @@
 using Base::Instant;
 using Lease::WriteResult;
 
-/// A window that is not fixed so long after it should be needs another holder; each rank waits its turn beyond that.
+/// Another host takes over the duty if a window is not fixed this long after it was due. Each rank waits takeOverStep longer.
 constexpr Duration takeOverAfter = std::chrono::milliseconds(1000);
 constexpr Duration takeOverStep = std::chrono::milliseconds(1200);
-/// Between two reads of the row while the former holder's right may last; calls cost.
+/// Minimum time between two reads of the row while the former holder's lease may last; it keeps the number of calls low.
 constexpr Duration readPeriod = std::chrono::milliseconds(1000);
 constexpr Duration retryPeriod = std::chrono::milliseconds(700);
-/// A report that cannot last so long is not begun.
-constexpr Duration leastReportTime = std::chrono::milliseconds(500);
-/// Windows that a new holder fixes at once; those before are past the time by which they had to be reported.
-constexpr WindowNumber mostCaughtUp = 3;
+/// A report is not sent if the lease allows less time than this.
+constexpr Duration minReportTimeout = std::chrono::milliseconds(500);
+/// Number of windows that a new holder fixes at once. Older ones are past the time by which they had to be reported.
+constexpr WindowNumber maxCatchUpWindows = 3;
 
 } // namespace
 
@@ -40,15 +40,15 @@
 {
 }
 
-WindowNumber UsageReporter::newestDue(FleetTime time) const
+WindowNumber UsageReporter::newestDueWindow(FleetTime time) const
 {
     return windowOf(time - m_options.fixAfter.count(), m_options.window) - 1;
 }
 
 bool UsageReporter::isOverdue(FleetTime time, std::size_t rank) const
 {
-    const Duration patience = takeOverAfter + static_cast<std::int64_t>(rank) * takeOverStep;
-    return newestDue(time - patience.count()) > m_fixedUpTo;
+    const Duration takeOverDelay = takeOverAfter + static_cast<std::int64_t>(rank) * takeOverStep;
+    return newestDueWindow(time - takeOverDelay.count()) > m_fixedUpTo;
 }
 
 bool UsageReporter::hasUnreported() const
@@ -59,13 +59,13 @@
 std::vector<ReporterAction> UsageReporter::tick(Instant now, FleetTime time, std::optional<std::size_t> rank,
                                                 const FleetCounts &counts)
 {
-    if (m_busy || now < m_nextTry) {
+    if (m_busy || now < m_nextAttempt) {
         return {};
     }
     const bool holds = m_lease.isHeld();
-    const bool due = newestDue(time) > m_fixedUpTo;
-    const bool wanted = holds ? due || hasUnreported() : rank && isOverdue(time, *rank);
-    if (!wanted) {
+    const bool due = newestDueWindow(time) > m_fixedUpTo;
+    const bool needed = holds ? due || hasUnreported() : rank && isOverdue(time, *rank);
+    if (!needed) {
         return {};
     }
     std::optional<ReporterAction> action;
@@ -91,19 +91,19 @@
     const auto fence = m_lease.fence(now);
     const Duration timeout = m_lease.timeToAct(now);
     const auto next = std::ranges::find_if(m_pending, [](const Pending &pending) { return !pending.reported; });
-    if (!fence || timeout < leastReportTime || next == m_pending.end()) {
+    if (!fence || timeout < minReportTimeout || next == m_pending.end()) {
         return std::nullopt;
     }
     return ReportUsage {*fence, next->fixed, timeout};
 }
 
-/// Renews the right to act, and fixes the windows that are due by now.
+/// Returns a write that renews the lease and fixes the windows that are due.
 std::optional<ReporterAction> UsageReporter::write(Instant now, FleetTime time, const FleetCounts &counts)
 {
-    const WindowNumber newest = newestDue(time);
+    const WindowNumber newest = newestDueWindow(time);
     UsageRow row {m_incarnation, m_host, {}};
     std::ranges::transform(m_pending, std::back_inserter(row.windows), &Pending::fixed);
-    for (WindowNumber window = std::max(m_fixedUpTo + 1, newest - mostCaughtUp + 1); window <= newest; ++window) {
+    for (WindowNumber window = std::max(m_fixedUpTo + 1, newest - maxCatchUpWindows + 1); window <= newest; ++window) {
         row.windows.push_back({window, counts.total(window)});
     }
     const auto surplus = static_cast<std::ptrdiff_t>(row.windows.size()) - static_cast<std::ptrdiff_t>(keptWindows);
@@ -112,14 +112,14 @@
     }
     m_written = row.windows;
     m_lease.writing(now);
-    return WriteRow {m_lease.expectedVersion(), rowText(std::move(row))};
+    return WriteRow {m_lease.expectedVersion(), serializeRow(std::move(row))};
 }
 
-void UsageReporter::takeRow(Instant now, const Lease::StoredRow &result)
+void UsageReporter::applyRow(Instant now, const Lease::StoredRow &result)
 {
     auto row = result.version == 0 ? absl::StatusOr<UsageRow>(UsageRow {}) : parseRow(result.value);
     if (!row.ok()) {
-        // Whoever wrote it holds the duty all the same.
+        // The process that wrote the row still holds the duty.
         Base::log(Base::LogLevel::Error, Base::LogEvent::DutyRowUnreadable,
                   {{"duty", "usage"}, {"reason", Base::messageOf(row.status())}});
         row = UsageRow {};
@@ -127,24 +127,25 @@
     m_lease.seen(now, {result.version, row->holder});
     m_rowHost = row->host;
     if (!row->windows.empty()) {
-        // Also where this process began later: what hosts counted since then has yet to be fixed.
-        m_fixedUpTo = std::max(m_heardUpTo, row->windows.back().window);
+        // This may be older than the start of this process: the windows from there on have yet to be fixed.
+        m_fixedUpTo = std::max(m_othersFixedUpTo, row->windows.back().window);
     }
-    takeWindows(std::move(row->windows));
+    replacePending(std::move(row->windows));
     if (std::exchange(m_wasHolder, m_lease.isHeld()) && !m_wasHolder) {
         Base::log(Base::LogLevel::Warning, Base::LogEvent::LeaseLost,
                   {{"duty", "usage"}, {"version", result.version}, {"to", m_rowHost}});
     }
 }
 
-/// The row's windows are @p windows now. Of those that another process fixed, the latest may have to be reported again.
-void UsageReporter::takeWindows(std::vector<FixedWindow> windows)
+/// Replaces the pending windows by @p windows, those of the row. Windows that another process fixed count as reported unless they
+/// are among the latest, which may have to be reported again.
+void UsageReporter::replacePending(std::vector<FixedWindow> windows)
 {
     const WindowNumber newest = windows.empty() ? 0 : windows.back().window;
     std::vector<Pending> pending;
     for (FixedWindow &fixed : windows) {
         const auto known = std::ranges::find(m_pending, fixed.window, [](const Pending &entry) { return entry.fixed.window; });
-        const bool reported = known != m_pending.end() ? known->reported : fixed.window + mostCaughtUp <= newest;
+        const bool reported = known != m_pending.end() ? known->reported : fixed.window + maxCatchUpWindows <= newest;
         pending.push_back({std::move(fixed), reported});
     }
     m_pending = std::move(pending);
@@ -154,7 +155,7 @@
 {
     m_busy = false;
     if (row) {
-        takeRow(now, *row);
+        applyRow(now, *row);
     }
 }
 
@@ -164,16 +165,16 @@
     m_busy = false;
     m_lease.written(result, version);
     if (result != WriteResult::Done) {
-        m_nextTry = now + retryPeriod;
+        m_nextAttempt = now + retryPeriod;
         m_nextRead = now;
         if (row) {
-            takeRow(now, *row);
+            applyRow(now, *row);
         }
         return;
     }
     m_rowHost = m_host;
     m_fixedUpTo = m_written.empty() ? m_fixedUpTo : std::max(m_fixedUpTo, m_written.back().window);
-    takeWindows(std::move(m_written));
+    replacePending(std::move(m_written));
     if (!std::exchange(m_wasHolder, true)) {
         Base::log(Base::LogLevel::Info, Base::LogEvent::LeaseTaken,
                   {{"duty", "usage"}, {"fence", m_lease.fence(now).value_or(version)}, {"version", version}});
@@ -185,7 +186,7 @@
     m_busy = false;
     const auto pending = std::ranges::find(m_pending, window, [](const Pending &entry) { return entry.fixed.window; });
     if (result == ReportResult::TryAgain) {
-        m_nextTry = now + retryPeriod;
+        m_nextAttempt = now + retryPeriod;
         return;
     }
     if (pending != m_pending.end()) {
@@ -196,7 +197,7 @@
 
 void UsageReporter::updateFixedUpTo(WindowNumber window)
 {
-    m_heardUpTo = std::max(m_heardUpTo, window);
+    m_othersFixedUpTo = std::max(m_othersFixedUpTo, window);
     m_fixedUpTo = std::max(m_fixedUpTo, window);
 }
 
--- a/Source/Usage/usagereporter.h
+++ b/Source/Usage/usagereporter.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Decides when a host takes over the duty of reporting usage, fixes windows and reports them.
+/// Decides when a host takes over the duty of reporting usage, which windows it fixes and when it reports them.
 
 #pragma once
 
@@ -19,26 +19,27 @@
 
 struct ReporterOptions
 {
-    Base::Duration window = std::chrono::seconds(5);
-    /// After a window's end, until its counts have come from all hosts: they tell them each second, and plain requests count
-    /// when they have been answered.
+    Base::Duration window = std::chrono::seconds(5); ///< length of a window
+    /// Delay after a window's end until all hosts' counts have arrived. Hosts send them each second, and a request without a
+    /// stream is counted when its response is complete.
     Base::Duration fixAfter = std::chrono::milliseconds(2200);
     Lease::LeaseTerms lease;
 };
 
-/// Read the row; answer with rowRead().
+/// Read the row and pass the result to UsageReporter::onRowRead().
 struct ReadRow
 {
 };
 
-/// Write the row under the condition of its version; answer with rowWritten().
+/// Write the row if it has the expected version, and pass the result to UsageReporter::onRowWritten().
 struct WriteRow
 {
     std::uint64_t expectedVersion = 0;
     std::string value;
 };
 
-/// Report a window; answer with reported(). After @ref within the call must be cut so that nothing of it arrives later.
+/// Report a window to the platform and pass the result to UsageReporter::onReported(). The connection must be reset after
+/// @ref timeout, so that the report cannot arrive later.
 struct ReportUsage
 {
     std::uint64_t fence = 0;
@@ -50,40 +51,45 @@
 
 enum class ReportResult {
     Accepted,
-    TryAgain, ///< no answer, or the platform cannot take it now
-    Rejected, ///< the platform will not take it
+    TryAgain, ///< no response, or the platform cannot take the report now
+    Rejected, ///< the platform will never take the report
 };
 
-/// What an operator sees.
+/// State of a UsageReporter, as operators see it.
 struct ReporterView
 {
-    bool holder = false;
-    std::uint64_t fence = 0; ///< 0: the right to act has run out
-    std::string host; ///< that wrote the row last, as far as this host knows
-    WindowNumber fixedUpTo = 0;
-    WindowNumber reportedUpTo = 0;
-    std::size_t unreported = 0; ///< windows that are fixed and not accepted yet
+    bool holder = false; ///< whether this host holds the duty
+    std::uint64_t fence = 0; ///< fencing token; 0 if the lease has expired
+    std::string host; ///< last writer of the row, as far as this host knows
+    WindowNumber fixedUpTo = 0; ///< newest fixed window
+    WindowNumber reportedUpTo = 0; ///< newest window that this host has reported
+    std::size_t unreported = 0; ///< fixed windows that the platform has not accepted yet
 };
 
-/// Pure state machine: one on each host. Counts are fixed in the store before the first call that carries them, so that every
-/// report of a window is the same, whoever sends it.
+/// Decides for one host whether it holds the reporting duty, and what it writes and reports. The counts of a window are fixed in
+/// the store before they are first reported, so that all reports of the window are the same, whichever host sends them. It is a
+/// pure state machine: tick() returns actions for the caller to carry out, and their results come back through the on...()
+/// functions.
 class UsageReporter
 {
 public:
-    /// Windows that ended before @p start was are not this process's.
+    /// @p start is the time at which the process started. It does not fix windows that ended earlier.
     UsageReporter(const ReporterOptions &options, std::string host, std::uint64_t incarnation, FleetTime start);
 
-    /// @p rank: how many hosts go before this one for the duty; none if it is not to take it. @p counts of all hosts.
+    /// Returns the actions that are due. @p rank is the number of hosts that come before this one for the duty, or nothing if it
+    /// must not take it. @p counts are those of all hosts.
     std::vector<ReporterAction> tick(Base::Instant now, FleetTime time, std::optional<std::size_t> rank,
                                      const FleetCounts &counts);
 
+    /// Takes the result of a read. The version is 0 if there is no row; @p row is empty if the store did not answer.
     void onRowRead(Base::Instant now, const std::optional<Lease::StoredRow> &row);
-    /// @p row: where the write was refused.
+
+    /// Takes the result of a write. @p row is the stored row if it had another version than expected.
     void onRowWritten(Base::Instant now, Lease::WriteResult result, std::uint64_t version,
                       const std::optional<Lease::StoredRow> &row);
     void onReported(Base::Instant now, WindowNumber window, ReportResult result);
 
-    /// Another host says how far it has fixed windows.
+    /// Records that another host has fixed all windows up to @p window.
     void updateFixedUpTo(WindowNumber window);
 
     WindowNumber fixedUpTo() const;
@@ -97,10 +103,10 @@
         bool reported = false;
     };
 
-    WindowNumber newestDue(FleetTime time) const;
+    WindowNumber newestDueWindow(FleetTime time) const;
     bool isOverdue(FleetTime time, std::size_t rank) const;
-    void takeRow(Base::Instant now, const Lease::StoredRow &row);
-    void takeWindows(std::vector<FixedWindow> windows);
+    void applyRow(Base::Instant now, const Lease::StoredRow &row);
+    void replacePending(std::vector<FixedWindow> windows);
     std::optional<ReporterAction> write(Base::Instant now, FleetTime time, const FleetCounts &counts);
     std::optional<ReporterAction> report(Base::Instant now);
     bool hasUnreported() const;
@@ -109,16 +115,16 @@
     std::string m_host;
     std::uint64_t m_incarnation;
     Lease::Lease m_lease;
-    WindowNumber m_fixedUpTo; ///< known to be in the store, or before this process's time
-    WindowNumber m_heardUpTo = 0; ///< from other holders
+    WindowNumber m_fixedUpTo; ///< newest window that is fixed in the store or ended before this process started
+    WindowNumber m_othersFixedUpTo = 0; ///< newest window that other holders have announced as fixed
     WindowNumber m_reportedUpTo = 0;
-    std::vector<Pending> m_pending; ///< of the row, as known here
-    std::vector<FixedWindow> m_written; ///< by the write that is under way
+    std::vector<Pending> m_pending; ///< windows of the row, as this host last saw it
+    std::vector<FixedWindow> m_written; ///< windows in the write that is under way
     std::string m_rowHost;
     bool m_busy = false; ///< an action is under way
     bool m_wasHolder = false;
     Base::Instant m_nextRead {};
-    Base::Instant m_nextTry {}; ///< of a write that a failure made necessary
+    Base::Instant m_nextAttempt {}; ///< earliest time for an action after a failed one
 };
 
 } // namespace Yokepond::Usage
--- a/Source/Usage/usagerow.cpp
+++ b/Source/Usage/usagerow.cpp
@@ -14,7 +14,7 @@
 
 using Json = nlohmann::json;
 
-std::string textOf(const UsageRow &row)
+std::string toJsonText(const UsageRow &row)
 {
     Json windows = Json::array();
     for (const FixedWindow &fixed : row.windows) {
@@ -26,12 +26,12 @@
 
 } // namespace
 
-std::string rowText(UsageRow row)
+std::string serializeRow(UsageRow row)
 {
-    std::string text = textOf(row);
-    while (text.size() > mostRowBytes && row.windows.size() > 1) {
+    std::string text = toJsonText(row);
+    while (text.size() > maxRowBytes && row.windows.size() > 1) {
         row.windows.erase(row.windows.begin());
-        text = textOf(row);
+        text = toJsonText(row);
     }
     return text;
 }
@@ -48,7 +48,8 @@
         }
         return row;
     } catch (const Json::exception &error) {
-        return Base::makeError(Base::ErrorKind::InvalidValue, fmt::format("the row of usage: {}", error.what()));
+        return Base::makeError(Base::ErrorKind::InvalidValue,
+                               fmt::format("the stored row of the usage duty is malformed: {}", error.what()));
     }
 }
 
--- a/Source/Usage/usagerow.h
+++ b/Source/Usage/usagerow.h
@@ -16,7 +16,8 @@
 
 namespace Yokepond::Usage {
 
-/// One window's counts as they are reported, by whomever and however often.
+/// Final counts of one window. A window is fixed when its counts are written to the store. They do not change after that, so that
+/// all reports of the window are the same, whichever host sends them.
 struct FixedWindow
 {
     WindowNumber window = 0;
@@ -27,19 +28,20 @@
 
 struct UsageRow
 {
-    std::uint64_t holder = 0; ///< incarnation of the process that wrote it
-    std::string host; ///< of that process, for operators
-    std::vector<FixedWindow> windows; ///< oldest first
+    std::uint64_t holder = 0; ///< incarnation of the process that wrote the row
+    std::string host; ///< host of that process, for operators
+    std::vector<FixedWindow> windows; ///< fixed windows, oldest first
 
     bool operator==(const UsageRow &) const = default;
 };
 
-/// A store's row takes 64 KiB in base64; the oldest windows are left out beyond this.
-inline constexpr std::size_t mostRowBytes = 44'000;
+/// Size limit of a row's text. The store accepts 64 KiB in base64; a longer row loses its oldest windows.
+inline constexpr std::size_t maxRowBytes = 44'000;
 
-std::string rowText(UsageRow row);
+/// Returns @p row as JSON text of at most maxRowBytes, unless a single window is longer.
+std::string serializeRow(UsageRow row);
 
-/// Fails with ErrorKind::InvalidValue.
+/// Reads the text that serializeRow() wrote. Fails with ErrorKind::InvalidValue.
 absl::StatusOr<UsageRow> parseRow(std::string_view text);
 
 } // namespace Yokepond::Usage
--- a/Tests/Peer/codectest.cpp
+++ b/Tests/Peer/codectest.cpp
@@ -61,9 +61,10 @@
 
 TEST(Codec, rateNewsKeepAllFieldsAndWhatIsNoRateIsNone)
 {
-    const EndpointUpdate news {5, 8, {Yokepond::Rate::Knowledge::Unlimited, 0, milliseconds(17)}};
-    const EndpointUpdate got = roundTrip(news);
-    CHECK_TRUE(got.shard == 5 && got.endpoint == 8 && got.rate.knowledge == news.rate.knowledge && got.rate.age == news.rate.age);
+    const EndpointUpdate update {5, 8, {Yokepond::Rate::Knowledge::Unlimited, 0, milliseconds(17)}};
+    const EndpointUpdate got = roundTrip(update);
+    CHECK_TRUE(got.shard == 5 && got.endpoint == 8 && got.rate.knowledge == update.rate.knowledge
+               && got.rate.age == update.rate.age);
     for (const double perSecond : {-1.0, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity()}) {
         const EndpointUpdate malformed {5, 8, {Yokepond::Rate::Knowledge::Limited, perSecond, {}}};
         CHECK_TRUE(roundTrip(malformed).rate.knowledge == Yokepond::Rate::Knowledge::Unknown);
@@ -74,8 +75,8 @@
 
 TEST(Codec, whatEndpointsSayOfLeavingAndRestIsKept)
 {
-    const EndpointUpdate news {5, 8, {}, {std::chrono::seconds(600), milliseconds(2750)}};
-    const EndpointUpdate got = roundTrip(news);
+    const EndpointUpdate update {5, 8, {}, {std::chrono::seconds(600), milliseconds(2750)}};
+    const EndpointUpdate got = roundTrip(update);
     CHECK_TRUE(got.rate.knowledge == Yokepond::Rate::Knowledge::Unknown);
     CHECK_TRUE(got.availability.leavesFor == std::chrono::seconds(600) && got.availability.restsFor == milliseconds(2750));
     // What is left must not end before its time.
@@ -130,13 +131,13 @@
 {
     const RunBroke broke = roundTrip(RunBroke {0xfedcba9876543210U, 17, true});
     CHECK_TRUE(broke.work == 0xfedcba9876543210U && broke.endpoint == 17 && broke.justBegan);
-    const QuarantineUpdate news {
+    const QuarantineUpdate update {
         99, {{5, 2, true, milliseconds(1200), milliseconds(600'000)}, {6, 1, false, milliseconds(1), milliseconds(2)}}};
-    const QuarantineUpdate got = roundTrip(news);
-    CHECK_EQUAL(news.digest, got.digest);
+    const QuarantineUpdate got = roundTrip(update);
+    CHECK_EQUAL(update.digest, got.digest);
     CHECK_EQUAL(2U, got.entries.size());
     for (std::size_t index = 0; index < got.entries.size(); ++index) {
-        const QuarantineEntry &sent = news.entries[index];
+        const QuarantineEntry &sent = update.entries[index];
         const QuarantineEntry &entry = got.entries[index];
         CHECK_TRUE(entry.work == sent.work && entry.round == sent.round && entry.held == sent.held);
         CHECK_TRUE(entry.firstCrashAge == sent.firstCrashAge && entry.left == sent.left);
--- a/Tests/Scaling/scalertest.cpp
+++ b/Tests/Scaling/scalertest.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr std::uint32_t base = 90;
+constexpr std::uint32_t baseline = 90;
 
 Base::Instant at(double seconds)
 {
@@ -52,7 +52,7 @@
 /// With all preemptible engines of any one data centre withdrawn, the others are as many as were provided.
 TEST(ScalingPlan, theLossOfOneDataCentresPreemptibleEnginesIsBorne)
 {
-    const auto orders = planFor(atStart(), base);
+    const auto orders = planOrders(atStart(), baseline);
     CHECK_EQUAL(45, countOrdered(orders, "a", true));
     CHECK_EQUAL(45, countOrdered(orders, "b", true));
     CHECK_EQUAL(45, countOrdered(orders, "c", true));
@@ -60,30 +60,30 @@
 
 TEST(ScalingPlan, regularEnginesGoOnlyWhenThePreemptibleOnesServe)
 {
-    CHECK_EQUAL(-1, countOrdered(planFor(atStart(), base), "a", false));
-    CHECK_EQUAL(-1, countOrdered(planFor(pool({{"a", 30, 45}, {"b", 30, 30}, {"c", 30, 0}}), base), "a", false));
-    CHECK_EQUAL(1, countOrdered(planFor(pool({{"a", 30, 45}, {"b", 30, 45}, {"c", 30, 45}}), base), "a", false));
+    CHECK_EQUAL(-1, countOrdered(planOrders(atStart(), baseline), "a", false));
+    CHECK_EQUAL(-1, countOrdered(planOrders(pool({{"a", 30, 45}, {"b", 30, 30}, {"c", 30, 0}}), baseline), "a", false));
+    CHECK_EQUAL(1, countOrdered(planOrders(pool({{"a", 30, 45}, {"b", 30, 45}, {"c", 30, 45}}), baseline), "a", false));
 }
 
 /// The limit of 60 counts both kinds: beside 30 regular engines no more than 30 others come. Half of the regular ones make room
 /// for the reserve; the rest stay until it serves, so that a withdrawal meanwhile leaves as many as were provided.
 TEST(ScalingPlan, regularEnginesMakeRoomForTheReserveBeforeTheyGo)
 {
-    const auto orders = planFor(pool({{"a", 30, 30}, {"b", 30, 30}, {"c", 30, 30}}), base);
+    const auto orders = planOrders(pool({{"a", 30, 30}, {"b", 30, 30}, {"c", 30, 30}}), baseline);
     CHECK_EQUAL(45, countOrdered(orders, "a", true));
     CHECK_EQUAL(15, countOrdered(orders, "a", false));
     // Once few are left, none come back for it.
-    CHECK_EQUAL(1, countOrdered(planFor(pool({{"a", 1, 45}, {"b", 1, 45}, {"c", 1, 0}}), base), "a", false));
+    CHECK_EQUAL(1, countOrdered(planOrders(pool({{"a", 1, 45}, {"b", 1, 45}, {"c", 1, 0}}), baseline), "a", false));
 }
 
 TEST(ScalingPlan, theLossOfOneDataCentreBringsNoRegularEnginesBack)
 {
-    CHECK_EQUAL(1, countOrdered(planFor(pool({{"a", 1, 0}, {"b", 1, 45}, {"c", 1, 45}}), base), "a", false));
+    CHECK_EQUAL(1, countOrdered(planOrders(pool({{"a", 1, 0}, {"b", 1, 45}, {"c", 1, 45}}), baseline), "a", false));
 }
 
 TEST(ScalingPlan, regularEnginesComeBackWherePreemptibleOnesCannotBeHad)
 {
-    const auto orders = planFor(pool({{"a", 1, 0}, {"b", 1, 0}, {"c", 1, 45}}), base);
+    const auto orders = planOrders(pool({{"a", 1, 0}, {"b", 1, 0}, {"c", 1, 45}}), baseline);
     CHECK_EQUAL(30, countOrdered(orders, "a", false));
     CHECK_EQUAL(30, countOrdered(orders, "c", false));
 }
@@ -92,17 +92,17 @@
 {
     ScaledPool large = atStart();
     large.terms.most = 40;
-    CHECK_EQUAL(39, countOrdered(planFor(large, base), "a", true));
+    CHECK_EQUAL(39, countOrdered(planOrders(large, baseline), "a", true));
 }
 
 TEST(ScalingPlan, wherePreemptibleEnginesSaveNothingTheNumbersStay)
 {
     ScaledPool dear = atStart();
     dear.terms.preemptiblePrice = 0.7;
-    CHECK_TRUE(planFor(dear, base).empty());
+    CHECK_TRUE(planOrders(dear, baseline).empty());
     ScaledPool one = pool({{"a", 30, 0}});
-    CHECK_TRUE(planFor(one, base).empty());
-    CHECK_TRUE(planFor(atStart(), 0).empty());
+    CHECK_TRUE(planOrders(one, baseline).empty());
+    CHECK_TRUE(planOrders(atStart(), 0).empty());
 }
 
 TEST_GROUP(Scaler)
@@ -188,14 +188,15 @@
     const ScaledPool both = pool({{"a", 1, 45}, {"b", 1, 45}, {"c", 1, 20}});
     CHECK_TRUE(tick(0, both).empty());
     CHECK_TRUE(std::holds_alternative<ReadRow>(tick(2, both).front()));
-    scaler.onRowRead(at(2), Lease::StoredRow {50, rowText({8, "h2", {{"llm", 90}}})});
+    scaler.onRowRead(at(2), Lease::StoredRow {50, serializeRow({8, "h2", {{"llm", 90}}})});
     // Another held it: its right may last.
     CHECK_TRUE(tick(2.1, both).empty());
     CHECK_TRUE(std::holds_alternative<ReadRow>(tick(4.2, both).front()));
-    scaler.onRowRead(at(4.2), Lease::StoredRow {50, rowText({8, "h2", {{"llm", 90}}})});
+    scaler.onRowRead(at(4.2), Lease::StoredRow {50, serializeRow({8, "h2", {{"llm", 90}}})});
     const auto actions = tick(5.6, both);
     CHECK_EQUAL(50U, std::get<WriteRow>(actions.front()).expectedVersion);
-    CHECK_TRUE(parseScalingRow(std::get<WriteRow>(actions.front()).value)->bases == (std::vector<PoolBase> {{"llm", 90}}));
+    CHECK_TRUE(parseScalingRow(std::get<WriteRow>(actions.front()).value)->baselines
+               == (std::vector<PoolBaseline> {{"llm", 90}}));
 }
 
 /// What the limit cut off is ordered again when regular engines of the data centre were told to go.
--- a/Tests/Usage/usagecountstest.cpp
+++ b/Tests/Usage/usagecountstest.cpp
@@ -71,7 +71,7 @@
 TEST(UsageCounts, aRowIsReadAsItWasWritten)
 {
     const UsageRow row {77, "h1", {{9, {{"small", 3}}}, {10, {{"large", 1}, {"small", 2}}}}};
-    CHECK_TRUE(parseRow(rowText(row)).value() == row);
+    CHECK_TRUE(parseRow(serializeRow(row)).value() == row);
 }
 
 TEST(UsageCounts, aRowThatCannotBeReadIsATypedError)
@@ -93,8 +93,8 @@
         }
         row.windows.push_back({window, counts});
     }
-    const std::string text = rowText(row);
-    CHECK_TRUE(text.size() <= mostRowBytes);
+    const std::string text = serializeRow(row);
+    CHECK_TRUE(text.size() <= maxRowBytes);
     // The newest is kept.
     CHECK_EQUAL(6, parseRow(text)->windows.back().window);
 }
