--- a/Source/Base/address.cpp
+++ b/Source/Base/address.cpp
@@ -28,7 +28,7 @@
         && port <= highestPort && inet_pton(AF_INET, ip.c_str(), &parsed) == 1;
     if (!valid) {
         return makeError(ErrorKind::InvalidValue,
-                         fmt::format("'{}' is not an address; expected an IPv4 number and a port such as 127.0.0.1:8080", text));
+                         fmt::format("'{}' is not an address; expected an IPv4 address and a port such as 127.0.0.1:8080", text));
     }
     return Address {ip, static_cast<std::uint16_t>(port)};
 }
--- a/Source/Base/address.h
+++ b/Source/Base/address.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Network addresses: an IP number and a port. Names are not resolved, so no call can block.
+/// Network addresses: an IPv4 address and a port. Names are not resolved, so that no call can block.
 
 #pragma once
 
@@ -21,11 +21,11 @@
 
     bool operator==(const Address &) const = default;
 
-    /// `ip:port`.
+    /// Returns `ip:port`.
     std::string text() const;
 };
 
-/// Parses `ip:port` with an IPv4 number. Fails with ErrorKind::InvalidValue.
+/// Parses `ip:port` with a numeric IPv4 address. Fails with ErrorKind::InvalidValue.
 absl::StatusOr<Address> parseAddress(std::string_view text);
 
 } // namespace Yokepond::Base
--- a/Source/Base/compression.h
+++ b/Source/Base/compression.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Text made small for other hosts, by Zstandard (RFC 8878); smaller still where the receiver holds a similar one.
+/// Compresses texts for other hosts with Zstandard (RFC 8878), against a similar text that the receiver has.
 
 #pragma once
 
@@ -14,12 +14,12 @@
 
 namespace Yokepond::Base {
 
-/// @p text as bytes from which expanded() makes it again, given the same @p known. What @p text has in common with @p known
-/// costs next to nothing. Fails with ErrorKind::Internal for want of memory.
-absl::StatusOr<std::string> compress(std::string_view text, std::string_view known);
+/// Compresses @p text. decompress() needs the same @p dictionary; the parts of @p text that also stand there take almost no
+/// space. Fails with ErrorKind::Internal if there is not enough memory.
+absl::StatusOr<std::string> compress(std::string_view text, std::string_view dictionary);
 
-/// The text that @p bytes were made of, at most @p most bytes of it. Fails with ErrorKind::InvalidValue if they are damaged, or
-/// were made with another @p known.
-absl::StatusOr<std::string> decompress(std::string_view bytes, std::string_view known, std::size_t most);
+/// Returns the text that was compressed to @p bytes. Fails with ErrorKind::InvalidValue if it is longer than @p maxSize, or if
+/// @p bytes are damaged or were compressed with another @p dictionary.
+absl::StatusOr<std::string> decompress(std::string_view bytes, std::string_view dictionary, std::size_t maxSize);
 
 } // namespace Yokepond::Base
--- a/Source/Base/error.h
+++ b/Source/Base/error.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Typed errors. An absl::Status carries the kind as a payload, so that no caller has to read the text.
+/// Typed errors. An absl::Status carries the kind as a payload, so that callers need not parse the message.
 
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace Yokepond::Base {
 
-/// Every kind of failure the programs report to a person or to another program.
+/// The kinds of failures that the programs report to people and to other programs.
 enum class ErrorKind {
     Internal,
     InvalidSettings,
@@ -52,16 +52,16 @@
     Cancelled,
 };
 
-/// The kind's name as it stands in error bodies (`error.type`) and logs.
+/// Returns the kind's name as used in error bodies (`error.type`) and logs.
 std::string_view errorName(ErrorKind kind);
 
-/// The HTTP status code an error of this kind is answered with.
+/// Returns the HTTP status code of a response that reports an error of this kind.
 int httpStatus(ErrorKind kind);
 
-/// A failed status that carries @p kind; @p message says what was wrong, where, and what to do.
+/// Returns a failed status that carries @p kind. @p message should say what went wrong, where, and what to do.
 absl::Status makeError(ErrorKind kind, std::string_view message);
 
-/// The kind carried by @p status; ErrorKind::Internal if it carries none.
+/// Returns the kind that @p status carries, or ErrorKind::Internal if it carries none.
 ErrorKind errorKind(const absl::Status &status);
 
 } // namespace Yokepond::Base
--- a/Source/Base/hash.h
+++ b/Source/Base/hash.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Hashes: xxhash for placement and prefixes, SHA-256 for secrets.
+/// Hash functions: xxHash for placement and prompt prefixes, SHA-256 for secrets.
 
 #pragma once
 
@@ -12,10 +12,11 @@
 
 namespace Yokepond::Base {
 
-/// XXH64 of @p text; equal on all hosts, not for secrets.
+/// Returns the XXH64 hash of @p text. It is the same on all hosts. Not suitable for secrets.
 std::uint64_t hash64(std::string_view text, std::uint64_t seed = 0);
 
-/// A number that depends on every bit of both: for weights of many pairs, each of whose members was hashed once.
+/// Returns a hash that depends on every bit of both values. It gives the weights of many pairs when each member of the pairs has
+/// been hashed once.
 constexpr std::uint64_t combineHashes(std::uint64_t left, std::uint64_t right)
 {
     // The finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
@@ -25,19 +26,19 @@
     return value ^ (value >> 31U);
 }
 
-/// SHA-256 of @p text as 64 lower-case hexadecimal digits.
+/// Returns the SHA-256 hash of @p text as 64 lower-case hexadecimal digits.
 std::string sha256(std::string_view text);
 
-/// HMAC-SHA-256 of @p text under @p key as lower-case hexadecimal digits.
+/// Returns the HMAC-SHA-256 of @p text with @p key as lower-case hexadecimal digits.
 std::string hmacSha256(std::string_view key, std::string_view text);
 
-/// Whether the two texts are equal, in a time that depends on their lengths only.
+/// Compares two texts in a time that depends only on their lengths.
 bool equalInConstantTime(std::string_view left, std::string_view right);
 
-/// A value from the operating system's random source, for incarnations and secrets.
+/// Returns a random value from the operating system, for incarnations and secrets.
 std::uint64_t randomValue();
 
-/// @p value as 16 lower-case hexadecimal digits.
+/// Returns @p value as 16 lower-case hexadecimal digits.
 std::string hexadecimal(std::uint64_t value);
 
 } // namespace Yokepond::Base
--- a/Source/Base/ini.cpp
+++ b/Source/Base/ini.cpp
@@ -20,26 +20,26 @@
 
 namespace {
 
-/// What inih calls back with: the text still to be read and the line it is on.
+/// State that inih passes to the callbacks.
 struct ReadState
 {
     std::string_view rest;
     int line = 0;
-    std::optional<std::string> longValue; ///< of the present line, if inih's buffer cannot hold it
-    int unreadableLine = 0; ///< the first that is too long and is no `key = value`; 0: none
+    std::optional<std::string> longValue; ///< value of the present line, if the line does not fit into inih's buffer
+    int unreadableLine = 0; ///< first line that is too long and is not `key = value`; 0 if there is none
     std::vector<IniEntry> entries;
 };
 
-constexpr std::string_view commentStarts = ";#";
+constexpr std::string_view commentCharacters = ";#";
 constexpr std::string_view delimiters = "=:";
 
 bool isComment(std::string_view line)
 {
     const std::string_view text = trimmed(line);
-    return !text.empty() && commentStarts.find(text.front()) != std::string_view::npos;
+    return !text.empty() && commentCharacters.find(text.front()) != std::string_view::npos;
 }
 
-/// As inih does: a semicolon after white space begins a comment.
+/// Removes a comment from the end of a value. As in inih, a semicolon after white space begins a comment.
 std::string_view withoutComment(std::string_view value)
 {
     for (std::size_t index = 1; index < value.size(); ++index) {
@@ -50,21 +50,22 @@
     return value;
 }
 
-/// What inih gets of a line that its buffer, of @p room bytes, cannot hold: the key, with a value in place of the long one.
-std::string shortened(std::string_view line, std::size_t room, ReadState &state)
+/// Returns a replacement for a line that does not fit into inih's buffer of @p room bytes: the key with a short placeholder. The
+/// real value goes to @p state.
+std::string shortenLine(std::string_view line, std::size_t room, ReadState &state)
 {
     if (isComment(line)) {
         return std::string(line.substr(0, room));
     }
     const std::size_t delimiter = line.find_first_of(delimiters);
     const bool isContinuation = absl::ascii_isspace(static_cast<unsigned char>(line.front()));
-    constexpr std::string_view standIn = "= x\n";
-    if (isContinuation || delimiter == std::string_view::npos || delimiter + standIn.size() > room) {
+    constexpr std::string_view placeholder = "= x\n";
+    if (isContinuation || delimiter == std::string_view::npos || delimiter + placeholder.size() > room) {
         state.unreadableLine = state.unreadableLine == 0 ? state.line + 1 : state.unreadableLine;
         return "\n";
     }
     state.longValue = trimmed(withoutComment(line.substr(delimiter + 1)));
-    return std::string(line.substr(0, delimiter)).append(standIn);
+    return std::string(line.substr(0, delimiter)).append(placeholder);
 }
 
 char *readLine(char *buffer, int size, void *stream)
@@ -78,7 +79,7 @@
     const std::size_t room = static_cast<std::size_t>(size) - 1;
     const std::string_view whole = state.rest.substr(0, length);
     state.longValue.reset();
-    const std::string line = length > room ? shortened(whole, room, state) : std::string(whole);
+    const std::string line = length > room ? shortenLine(whole, room, state) : std::string(whole);
     std::ranges::copy(line, buffer);
     buffer[line.size()] = '\0';
     state.rest.remove_prefix(length);
@@ -104,9 +105,9 @@
                          fmt::format("{}:{}: expected [section], key = value, or a comment", file, badLine));
     }
     if (state.unreadableLine != 0) {
-        return makeError(
-            ErrorKind::InvalidSettings,
-            fmt::format("{}:{}: a line of over {} bytes has to be key = value", file, state.unreadableLine, INI_MAX_LINE - 2));
+        return makeError(ErrorKind::InvalidSettings,
+                         fmt::format("{}:{}: a line of more than {} bytes must have the form key = value", file,
+                                     state.unreadableLine, INI_MAX_LINE - 2));
     }
     IniFile ini;
     ini.m_file = std::move(file);
@@ -114,7 +115,7 @@
         if (ini.find(entry.section, entry.key) != nullptr) {
             return makeError(
                 ErrorKind::InvalidSettings,
-                fmt::format("{}:{}: [{}] {} stands twice; remove one", ini.m_file, entry.line, entry.section, entry.key));
+                fmt::format("{}:{}: [{}] {} appears twice; remove one", ini.m_file, entry.line, entry.section, entry.key));
         }
         ini.m_entries.push_back(std::move(entry));
     }
--- a/Source/Base/ini.h
+++ b/Source/Base/ini.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// INI files, read with inih, with the line of every key kept for error messages.
+/// Reads INI files with inih and keeps the line of every key for error messages.
 
 #pragma once
 
@@ -25,42 +25,42 @@
     int line = 0;
 };
 
-/// A parsed file; reads mark keys as known, so that finish() can refuse the others.
+/// A parsed INI file. Each read marks its key as known, so that finish() can reject keys that nobody reads.
 class IniFile
 {
 public:
-    /// Parses @p text; @p file is its name in messages. Fails with ErrorKind::InvalidSettings naming file and line.
+    /// Parses @p text; @p file is its name in messages. Fails with ErrorKind::InvalidSettings and a message with file and line.
     static absl::StatusOr<IniFile> parse(std::string_view text, std::string file);
 
     /// Reads and parses the file at @p path. Fails with ErrorKind::InvalidSettings.
     static absl::StatusOr<IniFile> load(const std::string &path);
 
-    /// The sections in the order they appear.
+    /// Returns the names of the sections in the order of the file.
     std::vector<std::string> sections() const;
 
-    /// All entries of @p section in file order; marks none as known.
+    /// Returns all entries of @p section in the order of the file, and marks none as known.
     std::vector<IniEntry> entries(std::string_view section) const;
 
-    /// The text of a key, or @p fallback if it does not stand in the file.
+    /// Returns the value of a key, or @p fallback if the file does not have it.
     std::string text(std::string_view section, std::string_view key, std::string_view fallback);
 
-    /// The text of a key that must stand in the file and not be empty.
+    /// Returns the value of a key that is required and must not be empty.
     std::string requiredText(std::string_view section, std::string_view key);
 
-    /// A whole number between @p least and @p most, or @p fallback if the key does not stand in the file.
+    /// Returns a whole number from @p least to @p most, or @p fallback if the file does not have the key.
     std::int64_t number(std::string_view section, std::string_view key, std::int64_t fallback, std::int64_t least,
                         std::int64_t most);
 
-    /// A decimal number between @p least and @p most, or @p fallback if the key does not stand in the file.
+    /// Returns a decimal number from @p least to @p most, or @p fallback if the file does not have the key.
     double decimal(std::string_view section, std::string_view key, double fallback, double least, double most);
 
-    /// `yes` or `no`, or @p fallback if the key does not stand in the file.
+    /// Returns whether the value is `yes` rather than `no`, or @p fallback if the file does not have the key.
     bool flag(std::string_view section, std::string_view key, bool fallback);
 
-    /// Records that a value is wrong: file, line and key are added to @p expected.
+    /// Records that a value is invalid. The message has the file, the line and the key in addition to @p expected.
     void reject(std::string_view section, std::string_view key, std::string_view expected);
 
-    /// The first error met by any read, or an error for a key that no read asked for, or OK.
+    /// Returns the first error of any read, else an error for a key that nobody read, else OK.
     absl::Status finish() const;
 
 private:
--- a/Source/Base/log.cpp
+++ b/Source/Base/log.cpp
@@ -73,7 +73,7 @@
 
 struct LogSettings
 {
-    LogLevel least = LogLevel::Info;
+    LogLevel minLevel = LogLevel::Info;
     std::string host;
 };
 
@@ -103,14 +103,14 @@
     return nameOf(eventNames, event);
 }
 
-void configureLog(LogLevel least, std::string host)
+void configureLog(LogLevel minLevel, std::string host)
 {
-    logSettings() = {least, std::move(host)};
+    logSettings() = {minLevel, std::move(host)};
 }
 
 void log(LogLevel level, LogEvent event, nlohmann::json fields)
 {
-    if (level < logSettings().least) {
+    if (level < logSettings().minLevel) {
         return;
     }
     fields["time"] = utcTime();
@@ -121,12 +121,12 @@
     }
     const std::string line = fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + '\n';
     if (logWriter() == nullptr) {
-        // One write a line keeps lines of different threads whole.
+        // Each line is one write, so that the lines of different threads are not mixed.
         std::fwrite(line.data(), 1, line.size(), stderr);
         return;
     }
-    if (const std::uint64_t leftOut = logWriter()->append(line); leftOut > 0) {
-        log(LogLevel::Warning, LogEvent::LinesDropped, {{"lines", leftOut}});
+    if (const std::uint64_t dropped = logWriter()->append(line); dropped > 0) {
+        log(LogLevel::Warning, LogEvent::LinesDropped, {{"lines", dropped}});
     }
 }
 
--- a/Source/Base/log.h
+++ b/Source/Base/log.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Structured logging: one JSON object a line, on standard error or through a writer of its own.
+/// Structured logging: each line is a JSON object, written to standard error or by a LogWriter.
 
 #pragma once
 
@@ -23,7 +23,7 @@
     {LogLevel::Error, "error"},
 }};
 
-/// What happened; the name stands in the line's `event` field and is stable across releases.
+/// Kinds of log lines. The name of the event is in the line's `event` field and is stable across releases.
 enum class LogEvent {
     Started,
     Listening,
@@ -77,20 +77,20 @@
     FaultSet,
 };
 
-/// The stable name of @p event.
+/// Returns the stable name of @p event.
 std::string_view eventName(LogEvent event);
 
-/// Sets the least level that is written and the host name put on every line. Call before threads start.
-void configureLog(LogLevel least, std::string host);
+/// Sets the lowest level that is written and the host name of all lines. Must be called before threads start.
+void configureLog(LogLevel minLevel, std::string host);
 
-/// From now on lines go to standard output, through a thread of their own that holds up nobody, until endLogWriter(). Call
-/// once, before other threads start.
+/// Sends lines to standard output until endLogWriter() is called. A separate thread writes them, so that log() never blocks. Must
+/// be called once, before other threads start.
 void startLogWriter();
 
-/// Writes what waits; later lines go to standard error again. Call when the other threads have ended.
+/// Writes the queued lines; later lines go to standard error again. Must be called after the other threads have ended.
 void endLogWriter();
 
-/// Writes one line with @p fields (a JSON object) added to time, level, host and event. Callable from any thread.
+/// Writes one line with time, level, host, event and @p fields, a JSON object. Callable from any thread.
 void log(LogLevel level, LogEvent event, nlohmann::json fields = nlohmann::json::object());
 
 } // namespace Yokepond::Base
--- a/Source/Base/logwriter.cpp
+++ b/Source/Base/logwriter.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-/// Lines that come within this time are written together: each wake-up costs.
-constexpr std::chrono::milliseconds gatherTime {50};
+/// Lines that are queued within this time are written together, because each wake-up of the thread has a cost.
+constexpr std::chrono::milliseconds batchTime {50};
 
 } // namespace
 
 LogWriter::LogWriter(int descriptor)
     : m_descriptor(descriptor)
 {
-    // A thread inherits what is blocked. A signal must reach the loop, which blocks it and reads it from a descriptor, and not
-    // end the process by way of this thread.
+    // A thread inherits the signal mask of its creator. Signals must reach the loop, which blocks them and reads them from a
+    // descriptor. Delivered to this thread, they would end the process.
     sigset_t all;
     sigset_t before;
     sigfillset(&all);
@@ -37,7 +37,7 @@
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_ending = true;
+        m_stopping = true;
     }
     m_wake.notify_one();
     m_thread.join();
@@ -46,31 +46,31 @@
 std::uint64_t LogWriter::append(const std::string &line)
 {
     bool wake = false;
-    std::uint64_t leftOut = 0;
+    std::uint64_t dropped = 0;
     {
         const std::lock_guard lock(m_mutex);
-        if (m_waiting.size() + line.size() > mostWaitingBytes) {
-            ++m_leftOut;
+        if (m_queue.size() + line.size() > maxQueuedBytes) {
+            ++m_dropped;
             return 0;
         }
-        leftOut = std::exchange(m_leftOut, 0);
-        wake = m_waiting.empty();
-        m_waiting += line;
+        dropped = std::exchange(m_dropped, 0);
+        wake = m_queue.empty();
+        m_queue += line;
     }
     if (wake) {
         m_wake.notify_one();
     }
-    return leftOut;
+    return dropped;
 }
 
 void LogWriter::run()
 {
     std::unique_lock lock(m_mutex);
-    while (!m_ending || !m_waiting.empty()) {
-        m_wake.wait(lock, [this] { return m_ending || !m_waiting.empty(); });
-        // Woken early only by the end.
-        m_wake.wait_for(lock, gatherTime, [this] { return m_ending; });
-        const std::string bytes = std::exchange(m_waiting, {});
+    while (!m_stopping || !m_queue.empty()) {
+        m_wake.wait(lock, [this] { return m_stopping || !m_queue.empty(); });
+        // Only the end of the writer cuts this wait short.
+        m_wake.wait_for(lock, batchTime, [this] { return m_stopping; });
+        const std::string bytes = std::exchange(m_queue, {});
         lock.unlock();
         writeAll(bytes);
         lock.lock();
@@ -83,7 +83,7 @@
     while (written < bytes.size()) {
         const ssize_t count = ::write(m_descriptor, bytes.data() + written, bytes.size() - written);
         if (count < 0 && errno != EINTR && errno != EAGAIN) {
-            // Nobody reads any more; there is no other place to say so.
+            // The write failed, for example because the reader has closed its end. There is no other place to report that.
             return;
         }
         written += count > 0 ? static_cast<std::size_t>(count) : 0;
--- a/Source/Base/logwriter.h
+++ b/Source/Base/logwriter.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Writes log lines on a thread of its own, so that a reader who does not read holds no decision back.
+/// Writes log lines on a separate thread, so that a slow reader of the log does not delay the program.
 
 #pragma once
 
@@ -14,22 +14,23 @@
 
 namespace Yokepond::Base {
 
+/// Queues lines in memory and writes them to a descriptor on its own thread.
 class LogWriter
 {
 public:
-    /// Bytes that may wait to be written; what comes beyond is left out and counted.
-    static constexpr std::size_t mostWaitingBytes = 512U << 10U;
+    /// Limit of the queued bytes. Lines beyond it are dropped and counted.
+    static constexpr std::size_t maxQueuedBytes = 512U << 10U;
 
-    /// Writes to @p descriptor, which stays the caller's.
+    /// Writes to @p descriptor, which is not closed.
     explicit LogWriter(int descriptor);
 
-    /// Writes what waits, if its reader takes it.
+    /// Writes the queued lines. Waits until the reader has taken them or has closed its end.
     ~LogWriter();
     LogWriter(const LogWriter &) = delete;
     LogWriter &operator=(const LogWriter &) = delete;
 
-    /// Queues a line, which ends in a newline; never waits for the reader. Returns how many lines have been left out since the
-    /// last line that was queued: the caller should tell it in a line of its own.
+    /// Queues @p line, which must end in a newline. Never waits for the reader. Returns the number of lines that were dropped
+    /// since the last queued line; the caller should log it. Returns 0 if @p line itself was dropped.
     std::uint64_t append(const std::string &line);
 
 private:
@@ -39,9 +40,9 @@
     int m_descriptor;
     std::mutex m_mutex;
     std::condition_variable m_wake;
-    std::string m_waiting;
-    std::uint64_t m_leftOut = 0;
-    bool m_ending = false;
+    std::string m_queue;
+    std::uint64_t m_dropped = 0;
+    bool m_stopping = false;
     std::thread m_thread;
 };
 
--- a/Source/Base/loop.cpp
+++ b/Source/Base/loop.cpp
@@ -89,7 +89,7 @@
 
 } // namespace
 
-/// Reads signals from a descriptor, so that they are handled as ordinary events and interrupt nothing.
+/// Reads signals from a descriptor, so that they are handled as ordinary events and interrupt no system call.
 class Loop::SignalHandler
 {
 public:
@@ -147,8 +147,9 @@
 
 namespace {
 
-/// ACE's own queue counts on the time of day, whose steps would hold timers back or set off all of them at once.
-ACE_Time_Value decisionTime()
+/// Returns the time of Base::now(). ACE's default queue uses the time of day, whose steps would delay timers or fire all of them
+/// at once.
+ACE_Time_Value loopTime()
 {
     const auto micros = now().time_since_epoch().count();
     constexpr std::int64_t microsPerSecond = 1'000'000;
@@ -158,7 +159,7 @@
 std::unique_ptr<ACE_Timer_Queue> makeTimers()
 {
     auto timers = std::make_unique<ACE_Timer_Heap_Variable_Time_Source>();
-    timers->set_time_policy(&decisionTime);
+    timers->set_time_policy(&loopTime);
     return timers;
 }
 
@@ -168,9 +169,9 @@
     : m_timers(makeTimers())
     , m_reactor(new ACE_Select_Reactor(nullptr, m_timers.get()), true)
 {
-    // ACE would tell of interrupted waits on standard error, in lines that are not JSON.
+    // ACE reports interrupted waits on standard error, in lines that are not JSON.
     ACE_LOG_MSG->priority_mask(0, ACE_Log_Msg::PROCESS);
-    // A write to a connection that its peer has closed is an ordinary error here.
+    // Writing to a connection that the peer has closed must return an error and not raise a signal.
     std::signal(SIGPIPE, SIG_IGN);
 }
 
@@ -204,7 +205,7 @@
 void Loop::run()
 {
     m_reactor.owner(ACE_OS::thr_self());
-    // A process that was stopped and goes on finds its wait interrupted; that ends no loop.
+    // The wait is interrupted (EINTR) when a stopped process continues. This must not end the loop.
     while (m_reactor.reactor_event_loop_done() == 0) {
         if (m_reactor.handle_events() == -1 && errno != EINTR) {
             log(LogLevel::Error, LogEvent::EdgeFailed, {{"where", "event loop"}, {"errno", errno}});
--- a/Source/Base/loop.h
+++ b/Source/Base/loop.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// One event loop: an ACE reactor with timers given as functions.
+/// An event loop: an ACE reactor whose handlers are functions.
 
 #pragma once
 
@@ -16,16 +16,16 @@
 
 namespace Yokepond::Base {
 
-/// Owns an ACE select reactor. All members but stop() are called on the thread that runs it.
+/// Owns an ACE select reactor. All members except stop() must be called on the thread that runs it.
 ///
-/// A loop watches only a handful of descriptors: libraries with many connections bring an epoll descriptor of their own,
-/// which is one of them. See docs/design/threads-and-loops.md for what was measured.
+/// A loop watches only a few descriptors. Libraries with many connections have an epoll descriptor, of which the loop watches
+/// only that one. See docs/design/threads-and-loops.md for measurements.
 class Loop
 {
 public:
     using Task = std::function<void()>;
 
-    /// A timer that ends when its handle goes.
+    /// A timer or a watched descriptor. Its destruction cancels it.
     class Registration;
 
     Loop();
@@ -41,11 +41,11 @@
     /// Calls @p task once after @p delay.
     std::unique_ptr<Registration> after(Duration delay, Task task);
 
-    /// Calls @p task whenever @p descriptor is readable, until the handle goes. The descriptor stays the caller's and must be
-    /// below 1024 (FD_SETSIZE): it is made before the process opens many connections.
+    /// Calls @p task whenever @p descriptor is readable. The caller keeps and closes the descriptor, which must be below 1024
+    /// (FD_SETSIZE) and should therefore be opened before the process opens many connections.
     std::unique_ptr<Registration> whenReadable(int descriptor, Task task);
 
-    /// What to do for a signal, on the loop.
+    /// Functions that are called on the loop's thread when a signal arrives.
     struct SignalTasks
     {
         Task stop; ///< SIGTERM, SIGINT
@@ -55,15 +55,15 @@
 
     void onSignals(SignalTasks tasks);
 
-    /// Runs until stop(). Must be called on the thread that made the loop.
+    /// Runs until stop() is called. Must be called on the thread that constructed the loop.
     void run();
 
-    /// Ends run(); callable from any thread.
+    /// Makes run() return. Callable from any thread.
     void stop();
 
 private:
     class SignalHandler;
-    std::unique_ptr<ACE_Timer_Queue> m_timers; ///< on the clock of decisions
+    std::unique_ptr<ACE_Timer_Queue> m_timers; ///< uses the clock of Base::now()
     ACE_Reactor m_reactor;
     std::unique_ptr<SignalHandler> m_signals;
 };
--- a/Source/Base/mailbox.h
+++ b/Source/Base/mailbox.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// A queue of typed messages from any thread to the thread that runs an ACE reactor.
+/// A queue through which any thread sends typed messages to the thread that runs an ACE reactor.
 
 #pragma once
 
@@ -19,9 +19,9 @@
 
 namespace Yokepond::Base {
 
-/// Messages are handled in the order they were posted, on the reactor's thread.
+/// Passes messages to a handler on the reactor's thread, in the order in which they were posted.
 ///
-/// The queue itself has no limit: each producer is bounded by its own limit (open requests, peer batches).
+/// The queue has no limit because each producer has a limit of its own (open requests, peer batches).
 template<typename Message>
 class Mailbox : public ACE_Event_Handler
 {
@@ -45,7 +45,7 @@
         ::close(m_descriptor);
     }
 
-    /// Queues @p message; wakes the reactor only if the queue was empty.
+    /// Queues @p message. Wakes the reactor only if the queue was empty. Callable from any thread.
     void post(Message message)
     {
         bool wake = false;
--- a/Source/Base/names.h
+++ b/Source/Base/names.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Tables that tie the values of an `enum class` to the names used in settings, logs and answers.
+/// Tables that map the values of an `enum class` to the names used in settings, logs and responses.
 
 #pragma once
 
@@ -14,11 +14,11 @@
 
 namespace Yokepond::Base {
 
-/// A table of (value, name) pairs; each value and each name stands once.
+/// A table of (value, name) pairs in which each value and each name is unique.
 template<typename Enum, std::size_t Size>
 using NameTable = std::array<std::pair<Enum, std::string_view>, Size>;
 
-/// The name of @p value, or "unknown" if the table does not hold it.
+/// Returns the name of @p value, or "unknown" if the table does not have it.
 template<typename Enum, std::size_t Size>
 constexpr std::string_view nameOf(const NameTable<Enum, Size> &table, Enum value)
 {
@@ -26,7 +26,7 @@
     return entry == table.end() ? std::string_view("unknown") : entry->second;
 }
 
-/// The value called @p name, or nothing if the table does not hold it.
+/// Returns the value with name @p name, or nothing if the table does not have it.
 template<typename Enum, std::size_t Size>
 constexpr std::optional<Enum> valueOf(const NameTable<Enum, Size> &table, std::string_view name)
 {
--- a/Source/Base/program.h
+++ b/Source/Base/program.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What all command lines have in common: --help, --version and errors.
+/// Command-line parsing that all programs share: --help, --version and errors.
 
 #pragma once
 
@@ -22,16 +22,16 @@
 {
     std::string name;
     std::string summary; ///< one line, shown by --help
-    std::string usage; ///< what follows the name on a command line
-    std::string examples; ///< shown by --help below the options, may be empty
+    std::string usage; ///< arguments, as shown after the name by --help
+    std::string examples; ///< shown by --help below the options; may be empty
 };
 
 using OptionMap = boost::program_options::variables_map;
 using OptionDescriptions = boost::program_options::options_description;
 using PositionalDescriptions = boost::program_options::positional_options_description;
 
-/// Parses the command line into @p values. Returns an exit code if the program has nothing more to do: after --help and
-/// --version, which are added here, or after an error, which has then been told on standard error.
+/// Parses the command line into @p values. Adds the options --help and --version. Returns an exit code if the program should end:
+/// after one of these, or after an error, which is printed to standard error.
 std::optional<int> parseCommandLine(const ProgramInfo &info, int argc, const char *const *argv, OptionDescriptions options,
                                     const PositionalDescriptions &positional, OptionMap &values);
 
--- a/Source/Base/text.h
+++ b/Source/Base/text.h
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Abseil's text functions for std::string_view: the distribution's Abseil is built with a string_view type of its own.
+/// Abseil's text functions for std::string_view. The distribution's Abseil is built with its own string_view type, which is
+/// another one.
 
 #pragma once
 
@@ -30,20 +31,20 @@
     return {text.data(), text.size()};
 }
 
-/// The text of a failed status.
+/// Returns the message of a failed status.
 inline std::string messageOf(const absl::Status &status)
 {
     return std::string(status.message());
 }
 
-/// Whether the whole of @p text is a decimal integer that fits into @p value.
+/// Parses a decimal integer. Returns false if @p text as a whole is not one that fits into @p value.
 template<typename Integer>
 bool parseInteger(std::string_view text, Integer *value)
 {
     return absl::SimpleAtoi(toAbsl(text), value);
 }
 
-/// Whether the whole of @p text is a hexadecimal integer that fits into @p value.
+/// Parses a hexadecimal integer. Returns false if @p text as a whole is not one that fits into @p value.
 template<typename Integer>
 bool parseHexadecimal(std::string_view text, Integer *value)
 {
@@ -70,7 +71,7 @@
     return absl::StartsWithIgnoreCase(toAbsl(text), toAbsl(prefix));
 }
 
-/// Removes @p prefix from the beginning of @p text if it is there; returns whether it was.
+/// Removes @p prefix from the beginning of @p text. Returns false if @p text does not begin with it.
 inline bool consumePrefix(std::string_view &text, std::string_view prefix)
 {
     const bool found = text.starts_with(prefix);
@@ -78,7 +79,7 @@
     return found;
 }
 
-/// Removes @p suffix from the end of @p text if it is there; returns whether it was.
+/// Removes @p suffix from the end of @p text. Returns false if @p text does not end with it.
 inline bool consumeSuffix(std::string_view &text, std::string_view suffix)
 {
     const bool found = text.ends_with(suffix);
@@ -86,7 +87,7 @@
     return found;
 }
 
-/// The parts of @p text between separators; views into it.
+/// Returns the parts of @p text between separators, as views into @p text.
 inline std::vector<std::string_view> split(std::string_view text, char separator)
 {
     std::vector<std::string_view> parts;
@@ -101,14 +102,14 @@
     return absl::Base64Escape(toAbsl(bytes));
 }
 
-/// An empty text if @p text is malformed.
+/// Returns an empty text if @p text is malformed.
 inline std::string decodeBase64(std::string_view text)
 {
     std::string bytes;
     return absl::Base64Unescape(toAbsl(text), &bytes) ? bytes : std::string();
 }
 
-/// The value of a `Authorization: Bearer KEY` header, or an empty text if it has another form.
+/// Returns the key of an `Authorization: Bearer KEY` header value, or an empty text if it has another form.
 inline std::string_view bearerKey(std::string_view header)
 {
     constexpr std::string_view scheme = "bearer ";
--- a/Source/Base/time.h
+++ b/Source/Base/time.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The time types of all decision code: microseconds on a clock that never goes back.
+/// The time types of all decision code, in microseconds on a monotonic clock.
 
 #pragma once
 
@@ -13,32 +13,32 @@
 
 using Duration = std::chrono::microseconds;
 
-/// A point on the host's clock since boot. Instants of two hosts cannot be compared.
+/// A time point on the host's boot-time clock. Instants of different hosts cannot be compared.
 using Instant = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-/// The present instant; decision code gets it as an argument and never calls this.
+/// Returns the current time. Decision code gets the time as an argument and never calls this function.
 inline Instant now()
 {
-    // std::chrono::steady_clock stands still while a host is suspended: on waking, a lease that ran out would still look held.
+    // std::chrono::steady_clock stops while the host is suspended. After resuming, an expired lease would still appear valid.
     timespec time {};
     clock_gettime(CLOCK_BOOTTIME, &time);
     return Instant(
         std::chrono::duration_cast<Duration>(std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec)));
 }
 
-/// @p duration in milliseconds, with a fraction.
+/// Returns @p duration in milliseconds, with a fraction.
 inline double milliseconds(Duration duration)
 {
     return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-/// @p duration in seconds, with a fraction.
+/// Returns @p duration in seconds, with a fraction.
 inline double seconds(Duration duration)
 {
     return std::chrono::duration<double>(duration).count();
 }
 
-/// Microseconds since the Unix epoch, for records that people and other hosts read; never used to decide.
+/// Returns the microseconds since the Unix epoch. Used in records for people and other hosts, and never for decisions.
 inline std::int64_t wallMicroseconds()
 {
     return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()).count();
--- a/Source/Base/tokenbucket.h
+++ b/Source/Base/tokenbucket.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// A token bucket that events fill in place of time: what is spent stays a share of them.
+/// A token bucket that is refilled by events instead of by time, so that the tokens spent are at most a share of the events.
 
 #pragma once
 
@@ -13,20 +13,20 @@
 class TokenBucket
 {
 public:
-    /// @p left tokens can be spent before any has been earned. At most @p most are saved up.
-    TokenBucket(double left, double most)
+    /// The bucket starts with @p left tokens and holds at most @p capacity.
+    TokenBucket(double left, double capacity)
         : m_left(left)
-        , m_most(most)
+        , m_capacity(capacity)
     {
     }
 
     /// Adds @p share of a token.
     void earn(double share)
     {
-        m_left = std::min(m_most, m_left + share);
+        m_left = std::min(m_capacity, m_left + share);
     }
 
-    /// Takes one token if there is one.
+    /// Removes one token. Returns false if there is none.
     bool spend()
     {
         if (m_left < 1.0) {
@@ -43,7 +43,7 @@
 
 private:
     double m_left;
-    double m_most;
+    double m_capacity;
 };
 
 } // namespace Yokepond::Base
--- a/Tests/Base/initest.cpp
+++ b/Tests/Base/initest.cpp
@@ -38,8 +38,8 @@
     CHECK_TRUE(ini->finish().ok());
 }
 
-/// Guards against a start that ends since a line of the settings is long, as one of ten seeds with full names is.
-TEST(Ini, linesOfAnyLengthAreRead)
+/// Guards against a start that fails because of a long line in the settings, such as a list of ten seeds with full names.
+TEST(Ini, readsLinesOfAnyLength)
 {
     for (const std::size_t length : {190U, 196U, 197U, 198U, 199U, 200U, 201U, 5000U}) {
         const std::string value(length, 'v');
@@ -53,7 +53,7 @@
     }
 }
 
-TEST(Ini, aLongLineThatIsNoKeyAndValueIsRefusedWithItsNumber)
+TEST(Ini, rejectsLongLineWithoutKeyAndValueAndNamesItsNumber)
 {
     const std::string tooLong(300, 'x');
     for (const std::string &line : {tooLong, "[" + tooLong + "]", tooLong + " = 1", "  " + tooLong}) {
@@ -63,34 +63,34 @@
     }
 }
 
-TEST(Ini, wrongValueNamesFileLineKeyAndWhatWasExpected)
+TEST(Ini, invalidValueErrorNamesFileLineKeyAndExpectedValue)
 {
     const std::string message = failureOf("[a]\n\nn = x\n", [](IniFile &ini) { ini.number("a", "n", 1, 0, 10); });
     STRCMP_EQUAL("file.ini:3: [a] n: expected a whole number from 0 to 10; found 'x'", message.c_str());
 }
 
-TEST(Ini, outOfRangeIsRefused)
+TEST(Ini, rejectsValueOutOfRange)
 {
     CHECK_FALSE(failureOf("[a]\nn = 11\n", [](IniFile &ini) { ini.number("a", "n", 1, 0, 10); }).empty());
 }
 
-TEST(Ini, unknownKeyIsRefusedWithItsLine)
+TEST(Ini, rejectsUnknownKeyAndNamesItsLine)
 {
     const std::string message = failureOf("[a]\nn = 1\nq = 2\n", [](IniFile &ini) { ini.number("a", "n", 1, 0, 10); });
     STRCMP_CONTAINS("file.ini:3: [a] q: unknown key", message.c_str());
 }
 
-TEST(Ini, missingRequiredKeyIsRefused)
+TEST(Ini, rejectsMissingRequiredKey)
 {
     STRCMP_CONTAINS("[a] n: expected a value", failureOf("[b]\n", [](IniFile &ini) { ini.requiredText("a", "n"); }).c_str());
 }
 
-TEST(Ini, doubledKeyIsRefused)
+TEST(Ini, rejectsDuplicateKey)
 {
-    STRCMP_CONTAINS("file.ini:3: [a] n stands twice", failureOf("[a]\nn = 1\nn = 2\n", [](IniFile &) {}).c_str());
+    STRCMP_CONTAINS("file.ini:3: [a] n appears twice", failureOf("[a]\nn = 1\nn = 2\n", [](IniFile &) {}).c_str());
 }
 
-TEST(Ini, malformedLineIsRefused)
+TEST(Ini, rejectsMalformedLine)
 {
     STRCMP_CONTAINS("file.ini:2:", failureOf("[a]\nnonsense\n", [](IniFile &) {}).c_str());
 }
--- a/Tests/Base/logwritertest.cpp
+++ b/Tests/Base/logwritertest.cpp
@@ -34,7 +34,7 @@
     }
 };
 
-TEST(LogWriter, writesAllLinesInOrderBeforeItEnds)
+TEST(LogWriter, writesAllLinesInOrderBeforeItIsDestroyed)
 {
     {
         LogWriter writer(ends[1]);
@@ -44,25 +44,25 @@
     STRCMP_EQUAL("one\ntwo\n", readAll().c_str());
 }
 
-TEST(LogWriter, aReaderThatDoesNotReadHoldsNobodyUpAndWhatIsLeftOutIsCounted)
+TEST(LogWriter, slowReaderDoesNotBlockWritersAndDroppedLinesAreCounted)
 {
     auto writer = std::make_unique<LogWriter>(ends[1]);
     const std::string line(1000, 'x');
-    const std::size_t lines = 4 * LogWriter::mostWaitingBytes / line.size();
+    const std::size_t lines = 4 * LogWriter::maxQueuedBytes / line.size();
     for (std::size_t index = 0; index < lines; ++index) {
-        // Nothing is read: this would never return if it waited for the reader.
+        // Nobody reads yet, so this would never return if it waited for the reader.
         writer->append(line);
     }
     std::thread reader([this] {
         std::array<char, 65536> buffer {};
         while (read(ends[0], buffer.data(), buffer.size()) > 0) { }
     });
-    std::uint64_t leftOut = 0;
-    while (leftOut == 0) {
-        leftOut = writer->append("last\n");
+    std::uint64_t dropped = 0;
+    while (dropped == 0) {
+        dropped = writer->append("last\n");
         std::this_thread::yield();
     }
-    CHECK_TRUE(leftOut > lines / 4 && leftOut < lines);
+    CHECK_TRUE(dropped > lines / 4 && dropped < lines);
     writer.reset();
     close(ends[1]);
     reader.join();
--- a/Tests/Base/looptest.cpp
+++ b/Tests/Base/looptest.cpp
@@ -5,7 +5,7 @@
 
 #include "Base/time.h"
 
-// CppUTest's macros for operator new would break what ACE's headers say of it.
+// This header must come before CppUTest, whose macros for operator new break the declarations in ACE's headers.
 #include <ace/Timer_Queue.h>
 
 #include <CppUTest/TestHarness.h>
@@ -14,7 +14,7 @@
 
 TEST_GROUP(Loop) {};
 
-TEST(Loop, timersDoNotCountOnTheTimeOfDay)
+TEST(Loop, timersDoNotUseTheTimeOfDay)
 {
     Base::Loop loop;
     const ACE_Time_Value queues = loop.reactor().timer_queue()->gettimeofday();
--- a/Tests/Base/suspensiontest.cpp
+++ b/Tests/Base/suspensiontest.cpp
@@ -2,9 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// A host that is suspended for seconds and wakes: all that is timed must count that time, so that nothing is done on the
-/// strength of a lease, a deadline or news that ran out meanwhile. A program of its own, since it puts a clock of its own before
-/// the system's.
+/// Guards against a host that acts on an expired lease, deadline or report after it was suspended for some seconds. Clocks and
+/// timers must count the time of the suspension. This is a separate program because it replaces the system's clock function.
 
 #include "Base/loop.h"
 #include "Base/time.h"
@@ -20,10 +19,15 @@
 
 std::atomic<std::int64_t> suspendedSeconds = 0;
 
+void suspend(std::chrono::seconds duration)
+{
+    suspendedSeconds += duration.count();
+}
+
 } // namespace
 
-/// As the kernel tells it after suspensions: the monotonic clock has stood still meanwhile, the boot clock and the time of day
-/// have not.
+/// Returns the times that the kernel has after suspensions: the boot-time clock and the time of day include them, the monotonic
+/// clock does not.
 extern "C" int clock_gettime(clockid_t clock, timespec *time) noexcept
 {
     const auto result = static_cast<int>(syscall(SYS_clock_gettime, clock, time));
@@ -36,12 +40,9 @@
 using namespace Yokepond;
 using std::chrono::seconds;
 
-TEST_GROUP(Suspension) {void suspend(seconds duration) {suspendedSeconds += duration.count();
-}
-}
-;
+TEST_GROUP(Suspension) {};
 
-TEST(Suspension, theClockOfDecisionsCountsIt)
+TEST(Suspension, clockCountsSuspendedTime)
 {
     const Base::Instant before = Base::now();
     suspend(seconds(20));
@@ -50,7 +51,7 @@
     CHECK_TRUE(passed < seconds(30));
 }
 
-TEST(Suspension, timersThatBecameDueMeanwhileFire)
+TEST(Suspension, timersThatExpiredDuringSuspensionFire)
 {
     constexpr int mostTicks = 200;
     Base::Loop loop;
--- a/Tests/Peer/codectest.cpp
+++ b/Tests/Peer/codectest.cpp
@@ -59,7 +59,7 @@
     CHECK_TRUE(got.pressure == grant.pressure && got.keeper == grant.keeper);
 }
 
-TEST(Codec, rateNewsKeepAllFieldsAndWhatIsNoRateIsNone)
+TEST(Codec, endpointUpdateKeepsTheRateAndDiscardsInvalidRates)
 {
     const EndpointUpdate update {5, 8, {Yokepond::Rate::Knowledge::Unlimited, 0, milliseconds(17)}};
     const EndpointUpdate got = roundTrip(update);
@@ -73,13 +73,13 @@
     DOUBLES_EQUAL(Yokepond::Rate::largestRate, roundTrip(huge).rate.perSecond, 1e-9);
 }
 
-TEST(Codec, whatEndpointsSayOfLeavingAndRestIsKept)
+TEST(Codec, endpointUpdateKeepsAvailability)
 {
     const EndpointUpdate update {5, 8, {}, {std::chrono::seconds(600), milliseconds(2750)}};
     const EndpointUpdate got = roundTrip(update);
     CHECK_TRUE(got.rate.knowledge == Yokepond::Rate::Knowledge::Unknown);
     CHECK_TRUE(got.availability.leavesFor == std::chrono::seconds(600) && got.availability.restsFor == milliseconds(2750));
-    // What is left must not end before its time.
+    // A fraction of a millisecond is rounded up, so that the time does not end too early.
     const EndpointUpdate fraction {5, 8, {}, {{}, std::chrono::microseconds(1)}};
     CHECK_TRUE(roundTrip(fraction).availability.restsFor == milliseconds(1));
     CHECK_TRUE(roundTrip(EndpointUpdate {}).availability.leavesFor == milliseconds(0));
@@ -100,7 +100,7 @@
     CHECK_TRUE(roundTrip(Probe {1, {member}, 12, 13, "h2"}).members.front() == member);
 }
 
-TEST(Codec, unknownEnumeratorIsPassedOver)
+TEST(Codec, messageWithUnknownEnumeratorIsSkipped)
 {
     capnp::MallocMessageBuilder memory;
     auto builder = memory.initRoot<Wire::Message>();
@@ -109,7 +109,7 @@
     CHECK_FALSE(decode(builder.asReader()).has_value());
 }
 
-TEST(Codec, bodiesMayHoldAnyBytes)
+TEST(Codec, bodiesMayContainAnyBytes)
 {
     Forward forward;
     forward.body = std::string("\0\xff\n", 3);
@@ -127,7 +127,7 @@
     CHECK_TRUE(got.clock == received.clock && got.fixedUpTo == received.fixedUpTo && got.holder == received.holder);
 }
 
-TEST(Codec, whatIsKnownOfWorkKeepsAllFields)
+TEST(Codec, quarantineMessagesKeepAllFields)
 {
     const RunBroke broke = roundTrip(RunBroke {0xfedcba9876543210U, 17, true});
     CHECK_TRUE(broke.work == 0xfedcba9876543210U && broke.endpoint == 17 && broke.justBegan);
@@ -144,7 +144,7 @@
     }
 }
 
-TEST(Codec, whoFollowsTheStoreIsToldAsConfiguration)
+TEST(Codec, followMessagesBelongToConfigurationTraffic)
 {
     CHECK_TRUE(roundTrip(FollowAnswer {true}).follows);
     CHECK_FALSE(roundTrip(FollowAnswer {false}).follows);
--- a/Tests/Peer/edgetest.cpp
+++ b/Tests/Peer/edgetest.cpp
@@ -13,17 +13,18 @@
 
 TEST_GROUP(Edge) {};
 
-/// A peer that takes calls and never returns them, as one that stands still. Calls begun one after another pass their time
-/// limit one after another; each belongs to a connection that the first has already ended.
-TEST(Edge, callsOfAConnectionGivenUpDoNotEndTheNextOne)
+/// Guards against calls of a closed connection that close the next one when they time out. The peer takes calls and never returns
+/// them, as a stopped process does. Calls that began one after another time out one after another, and the first timeout
+/// closes their connection.
+TEST(Edge, timeoutsOfAClosedConnectionDoNotCloseTheNextOne)
 {
     std::atomic<int> received = 0;
-    auto still = Edge::start({{"127.0.0.1", 0}, "127.0.0.1:1", "still", 1}, [&](const Event &event) {
+    auto silentPeer = Edge::start({{"127.0.0.1", 0}, "127.0.0.1:1", "still", 1}, [&](const Event &event) {
         if (std::holds_alternative<MessagesReceived>(event)) {
             ++received;
         }
     });
-    CHECK_TRUE(still.ok());
+    CHECK_TRUE(silentPeer.ok());
     std::atomic<int> lost = 0;
     auto sender = Edge::start({{"127.0.0.1", 0}, "127.0.0.1:2", "sender", 2}, [&](const Event &event) {
         if (std::holds_alternative<MessagesLost>(event)) {
@@ -31,8 +32,8 @@
         }
     });
     CHECK_TRUE(sender.ok());
-    const std::string address = "127.0.0.1:" + std::to_string((*still)->port());
-    // Calls in flight on the first connection, begun apart.
+    const std::string address = "127.0.0.1:" + std::to_string((*silentPeer)->port());
+    // Two calls are in flight on the first connection, begun at different times.
     for (int call = 0; call < 2; ++call) {
         (*sender)->send(address, Withdrawal {{1, 1}, 1});
         while (received <= call) {
@@ -43,7 +44,7 @@
     while (lost == 0) {
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
-    // The second connection, with a call of its own in flight while those of the first fail.
+    // A call is in flight on the second connection while those of the first time out.
     (*sender)->send(address, Withdrawal {{2, 1}, 1});
     while (received <= 2) {
         std::this_thread::yield();
--- a/Tests/Scaling/scalertest.cpp
+++ b/Tests/Scaling/scalertest.cpp
@@ -2,8 +2,9 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What is ordered, when and by whom. The figures are the shifted deployment's as its operators state them: 30 engines in each of
-/// three data centres, up to 60 of both kinds, withdrawable ones at 0.18 of the others' price, 4 s until a new one serves.
+/// Tests what is ordered, when, and by which host. The figures are those that the operators of the shifted deployment give: 30
+/// engines in each of three data centres, at most 60 of both kinds, preemptible ones at 0.18 of the regular price, and 4 s until
+/// a new one serves.
 
 #include "Scaling/scaler.h"
 
@@ -36,21 +37,20 @@
     return pool({{"a", 30, 0}, {"b", 30, 0}, {"c", 30, 0}});
 }
 
+/// Returns the number of endpoints ordered, or -1 if there is no such order.
+int countOrdered(const std::vector<Order> &orders, const std::string &dataCentre, bool preemptible)
+{
+    const auto order = std::ranges::find_if(
+        orders, [&](const Order &entry) { return entry.dataCentre == dataCentre && entry.preemptible == preemptible; });
+    return order == orders.end() ? -1 : static_cast<int>(order->count);
+}
+
 } // namespace
 
-TEST_GROUP(ScalingPlan) {
-    /// The number ordered, or -1 for none.
-    static int countOrdered(const std::vector<Order> &orders, const std::string &dataCentre,
-                            bool preemptible) {const auto order = std::ranges::find_if(orders, [&](const Order &entry) {
-                                                   return entry.dataCentre == dataCentre && entry.preemptible == preemptible;
-                                               });
-return order == orders.end() ? -1 : static_cast<int>(order->count);
-}
-}
-;
+TEST_GROUP(ScalingPlan) {};
 
-/// With all preemptible engines of any one data centre withdrawn, the others are as many as were provided.
-TEST(ScalingPlan, theLossOfOneDataCentresPreemptibleEnginesIsBorne)
+/// When all preemptible engines of one data centre are withdrawn, the remaining ones are as many as the operators provided.
+TEST(ScalingPlan, keepsTheCapacityWhenOneDataCentreLosesItsPreemptibleEngines)
 {
     const auto orders = planOrders(atStart(), baseline);
     CHECK_EQUAL(45, countOrdered(orders, "a", true));
@@ -58,30 +58,31 @@
     CHECK_EQUAL(45, countOrdered(orders, "c", true));
 }
 
-TEST(ScalingPlan, regularEnginesGoOnlyWhenThePreemptibleOnesServe)
+TEST(ScalingPlan, givesUpRegularEnginesOnlyWhenPreemptibleOnesServe)
 {
     CHECK_EQUAL(-1, countOrdered(planOrders(atStart(), baseline), "a", false));
     CHECK_EQUAL(-1, countOrdered(planOrders(pool({{"a", 30, 45}, {"b", 30, 30}, {"c", 30, 0}}), baseline), "a", false));
     CHECK_EQUAL(1, countOrdered(planOrders(pool({{"a", 30, 45}, {"b", 30, 45}, {"c", 30, 45}}), baseline), "a", false));
 }
 
-/// The limit of 60 counts both kinds: beside 30 regular engines no more than 30 others come. Half of the regular ones make room
-/// for the reserve; the rest stay until it serves, so that a withdrawal meanwhile leaves as many as were provided.
-TEST(ScalingPlan, regularEnginesMakeRoomForTheReserveBeforeTheyGo)
+/// The limit of 60 counts both kinds, so that 30 regular engines leave room for only 30 preemptible ones. Half of the regular
+/// ones are given up to make room for the reserve. The other half stays until the reserve serves, so that a withdrawal in the
+/// meantime leaves as many engines as the operators provided.
+TEST(ScalingPlan, givesUpOnlyAsManyRegularEnginesAsTheReserveNeedsRoom)
 {
     const auto orders = planOrders(pool({{"a", 30, 30}, {"b", 30, 30}, {"c", 30, 30}}), baseline);
     CHECK_EQUAL(45, countOrdered(orders, "a", true));
     CHECK_EQUAL(15, countOrdered(orders, "a", false));
-    // Once few are left, none come back for it.
+    // When few regular engines are left, none are ordered again in place of the missing reserve.
     CHECK_EQUAL(1, countOrdered(planOrders(pool({{"a", 1, 45}, {"b", 1, 45}, {"c", 1, 0}}), baseline), "a", false));
 }
 
-TEST(ScalingPlan, theLossOfOneDataCentreBringsNoRegularEnginesBack)
+TEST(ScalingPlan, ordersNoRegularEnginesWhenOneDataCentreIsLost)
 {
     CHECK_EQUAL(1, countOrdered(planOrders(pool({{"a", 1, 0}, {"b", 1, 45}, {"c", 1, 45}}), baseline), "a", false));
 }
 
-TEST(ScalingPlan, regularEnginesComeBackWherePreemptibleOnesCannotBeHad)
+TEST(ScalingPlan, ordersRegularEnginesWhenPreemptibleOnesAreNotAvailable)
 {
     const auto orders = planOrders(pool({{"a", 1, 0}, {"b", 1, 0}, {"c", 1, 45}}), baseline);
     CHECK_EQUAL(30, countOrdered(orders, "a", false));
@@ -95,11 +96,11 @@
     CHECK_EQUAL(39, countOrdered(planOrders(large, baseline), "a", true));
 }
 
-TEST(ScalingPlan, wherePreemptibleEnginesSaveNothingTheNumbersStay)
+TEST(ScalingPlan, ordersNothingWhenPreemptibleEnginesSaveNothing)
 {
-    ScaledPool dear = atStart();
-    dear.terms.preemptiblePrice = 0.7;
-    CHECK_TRUE(planOrders(dear, baseline).empty());
+    ScaledPool expensive = atStart();
+    expensive.terms.preemptiblePrice = 0.7;
+    CHECK_TRUE(planOrders(expensive, baseline).empty());
     ScaledPool one = pool({{"a", 30, 0}});
     CHECK_TRUE(planOrders(one, baseline).empty());
     CHECK_TRUE(planOrders(atStart(), 0).empty());
@@ -115,7 +116,7 @@
         return scaler.tick(at(now), rank, {seen}, idle);
     }
 
-    /// Reads an absent row and takes it.
+    /// Reads the row, which does not exist, and takes the lease by writing it.
     void take(const ScaledPool &seen)
     {
         CHECK_TRUE(tick(0, seen).empty());
@@ -136,7 +137,7 @@
     }
 };
 
-TEST(Scaler, nothingIsOrderedBeforeTheRowIsItsOwn)
+TEST(Scaler, ordersNothingBeforeItHoldsTheLease)
 {
     take(atStart());
     const auto actions = tick(2.15, atStart());
@@ -147,7 +148,7 @@
     CHECK_TRUE(first.timeout <= std::chrono::seconds(2));
 }
 
-TEST(Scaler, eachOrderIsSentOnceAndRepeatedWhenItsEnginesDoNotCome)
+TEST(Scaler, sendsEachOrderOnceAndRepeatsItWhenItsEnginesDoNotServe)
 {
     take(atStart());
     for (int index = 0; index < 3; ++index) {
@@ -155,14 +156,14 @@
     }
     CHECK_TRUE(tick(2.4, atStart()).empty());
     CHECK_TRUE(tick(11.0, atStart()).empty());
-    // The right has run out: it is renewed before anything is sent.
+    // The lease has expired. It is renewed before anything is sent.
     CHECK_TRUE(std::holds_alternative<WriteRow>(tick(12.5, atStart()).front()));
     scaler.onRowWritten(at(12.6), WriteResult::Done, 55, std::nullopt);
     const auto actions = tick(12.65, atStart());
     CHECK_EQUAL(40U, std::get<SendOrder>(actions.front()).fence);
 }
 
-TEST(Scaler, whileRequestsRunOneDataCentreAtATimeGivesUpEngines)
+TEST(Scaler, reducesOneDataCentreAtATimeWhileRequestsRun)
 {
     take(atStart());
     const ScaledPool both = pool({{"a", 30, 45}, {"b", 30, 45}, {"c", 30, 45}});
@@ -171,7 +172,7 @@
     CHECK_TRUE(std::holds_alternative<WriteRow>(tick(7.3, both, false).front()));
 }
 
-TEST(Scaler, withoutRequestsAllGiveUpEnginesAtOnce)
+TEST(Scaler, reducesAllDataCentresAtOnceWithoutRequests)
 {
     take(atStart());
     const ScaledPool both = pool({{"a", 30, 45}, {"b", 30, 45}, {"c", 30, 45}});
@@ -182,14 +183,15 @@
     }
 }
 
-/// What the operators provided is in the row: a successor does not take what is ordered now for that.
-TEST(Scaler, aSuccessorKnowsWhatWasProvided)
+/// Guards against a new holder that takes the endpoints ordered so far as those that the operators provided. The row has the
+/// baselines.
+TEST(Scaler, newHolderTakesTheBaselinesFromTheRow)
 {
     const ScaledPool both = pool({{"a", 1, 45}, {"b", 1, 45}, {"c", 1, 20}});
     CHECK_TRUE(tick(0, both).empty());
     CHECK_TRUE(std::holds_alternative<ReadRow>(tick(2, both).front()));
     scaler.onRowRead(at(2), Lease::StoredRow {50, serializeRow({8, "h2", {{"llm", 90}}})});
-    // Another held it: its right may last.
+    // Another process held the lease, which may not have expired yet.
     CHECK_TRUE(tick(2.1, both).empty());
     CHECK_TRUE(std::holds_alternative<ReadRow>(tick(4.2, both).front()));
     scaler.onRowRead(at(4.2), Lease::StoredRow {50, serializeRow({8, "h2", {{"llm", 90}}})});
@@ -199,8 +201,8 @@
                == (std::vector<PoolBaseline> {{"llm", 90}}));
 }
 
-/// What the limit cut off is ordered again when regular engines of the data centre were told to go.
-TEST(Scaler, whatTheLimitCutIsOrderedAgainWhenThereIsRoom)
+/// Preemptible engines that the limit cut off are ordered again once regular engines of that data centre are given up.
+TEST(Scaler, repeatsAnOrderThatTheLimitCutWhenThereIsRoom)
 {
     take(atStart());
     for (int index = 0; index < 3; ++index) {
@@ -215,13 +217,13 @@
     CHECK_EQUAL(45U, again.count);
 }
 
-TEST(Scaler, withoutARankOrPoolsNothingIsDone)
+TEST(Scaler, doesNothingWithoutARankOrPools)
 {
     CHECK_TRUE(scaler.tick(at(10), std::nullopt, {atStart()}, true).empty());
     CHECK_TRUE(scaler.tick(at(20), 0, {}, true).empty());
 }
 
-TEST(Scaler, aRowThatCannotBeReadIsATypedError)
+TEST(Scaler, malformedRowIsATypedError)
 {
     for (const char *text :
          {"", "[]", "{}", R"({"holder":"x","host":"h","bases":[]})", R"({"holder":1,"host":"h","bases":[{}]})"}) {
--- a/Tests/Usage/usagecountstest.cpp
+++ b/Tests/Usage/usagecountstest.cpp
@@ -22,7 +22,7 @@
 
 TEST_GROUP(UsageCounts) {};
 
-TEST(UsageCounts, aHostsCountsReplaceWhatItToldBefore)
+TEST(UsageCounts, newCountsOfAHostReplaceItsEarlierOnes)
 {
     FleetCounts fleet;
     fleet.update(at(0), "h1", 1, {}, {{9, "small", 3}});
@@ -32,7 +32,7 @@
     CHECK_TRUE((fleet.total(10) == WindowCounts {{"small", 1}}));
 }
 
-TEST(UsageCounts, whatAProcessCountedStaysWhenItHasEnded)
+TEST(UsageCounts, countsOfAnEndedProcessAreKept)
 {
     FleetCounts fleet;
     fleet.update(at(0), "h1", 1, {}, {{9, "small", 3}});
@@ -40,7 +40,7 @@
     CHECK_EQUAL(7U, fleet.total(9).at("small"));
 }
 
-TEST(UsageCounts, windowsThatAHostDroppedStay)
+TEST(UsageCounts, windowsThatAHostRemovedAreKept)
 {
     FleetCounts fleet;
     fleet.update(at(0), "h1", 1, {}, {{9, "small", 3}});
@@ -48,7 +48,7 @@
     CHECK_EQUAL(3U, fleet.total(9).at("small"));
 }
 
-TEST(UsageCounts, theMedianOutvotesAClockThatStepped)
+TEST(UsageCounts, medianIgnoresAClockThatStepped)
 {
     FleetCounts fleet;
     fleet.update(at(0), "h1", 1, std::chrono::milliseconds(1), {{9, "a", 1}});
@@ -59,7 +59,7 @@
     CHECK_EQUAL(0U, fleet.recentHosts(at(20)));
 }
 
-TEST(UsageCounts, aClockIsMovedOnlyByMoreThanAMessageTakes)
+TEST(UsageCounts, clockIsCorrectedOnlyByMoreThanTheDelayOfAMessage)
 {
     FleetClock clock(at(0), 50'000'000);
     CHECK_EQUAL(51'000'000, clock.at(at(1)));
@@ -68,13 +68,13 @@
     CHECK_EQUAL(56'000'000, clock.at(at(2)));
 }
 
-TEST(UsageCounts, aRowIsReadAsItWasWritten)
+TEST(UsageCounts, rowIsReadAsItWasWritten)
 {
     const UsageRow row {77, "h1", {{9, {{"small", 3}}}, {10, {{"large", 1}, {"small", 2}}}}};
     CHECK_TRUE(parseRow(serializeRow(row)).value() == row);
 }
 
-TEST(UsageCounts, aRowThatCannotBeReadIsATypedError)
+TEST(UsageCounts, malformedRowIsATypedError)
 {
     for (const char *text :
          {"", "[]", "{}", R"({"holder":"x","host":"h","windows":[]})", R"({"holder":1,"host":"h","windows":[{}]})",
@@ -83,7 +83,7 @@
     }
 }
 
-TEST(UsageCounts, aRowStaysWithinTheStoresBounds)
+TEST(UsageCounts, rowStaysBelowTheStoresSizeLimit)
 {
     UsageRow row {77, "h1", {}};
     for (WindowNumber window = 1; window <= 6; ++window) {
@@ -95,6 +95,6 @@
     }
     const std::string text = serializeRow(row);
     CHECK_TRUE(text.size() <= maxRowBytes);
-    // The newest is kept.
+    // The newest window is kept.
     CHECK_EQUAL(6, parseRow(text)->windows.back().window);
 }
--- a/Tests/Usage/usagereportertest.cpp
+++ b/Tests/Usage/usagereportertest.cpp
@@ -2,8 +2,9 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// One host at a time reports usage, whatever the store, the platform, the hosts and their clocks do: many hosts of the real code
-/// before a store and a platform that fail by a seed, under one simulated clock. The platform judges what it receives.
+/// Guards against two hosts that report usage at the same time, and against reports that are lost or differ. The test runs the
+/// duty code of many hosts with one simulated clock, against a store and a platform that fail at random times given by a seed.
+/// The simulated platform checks the reports that it receives.
 
 #include "Node/usageduty.h"
 
@@ -30,9 +31,9 @@
 namespace {
 
 constexpr Duration window = std::chrono::seconds(5);
-constexpr Duration leaseTime = milliseconds(3000); ///< in which the platform counts holders that act by turns
+constexpr Duration leaseTime = milliseconds(3000); ///< time in which the platform looks for holders that act alternately
 constexpr Duration tickPeriod = milliseconds(50);
-/// The reports of a window are due so long after its end.
+/// The report of a window is due this long after its end.
 constexpr Duration dueAfter = std::chrono::seconds(10);
 
 struct SimulationOptions
@@ -43,17 +44,17 @@
     Duration length = std::chrono::seconds(90);
 };
 
-/// What the platform saw that must not be.
+/// Faults that the platform found in the reports.
 struct Violations
 {
-    std::uint64_t differing = 0; ///< reports of one window
-    std::uint64_t sharedFence = 0; ///< two hosts with one fence
-    std::uint64_t lowerFence = 0;
-    std::uint64_t takenInTurns = 0; ///< A, B, A within the lease time
+    std::uint64_t differing = 0; ///< reports of one window with different counts
+    std::uint64_t sharedFence = 0; ///< reports of two hosts with the same fence
+    std::uint64_t lowerFence = 0; ///< reports with a lower fence than an earlier one
+    std::uint64_t alternatingHosts = 0; ///< hosts A, B and A again within the lease time
 
     std::uint64_t all() const
     {
-        return differing + sharedFence + lowerFence + takenInTurns;
+        return differing + sharedFence + lowerFence + alternatingHosts;
     }
 };
 
@@ -96,11 +97,12 @@
         return m_violations;
     }
 
-    /// Windows that ended in the run whose due time is over, and those of them whose report came in time with all that was begun.
-    std::pair<std::size_t, std::size_t> dueAndRight(double tolerance) const
+    /// Returns the number of windows whose due time has passed, and how many of them were reported in time and with the right
+    /// count of requests.
+    std::pair<std::size_t, std::size_t> countDueAndCorrect(double tolerance) const
     {
         std::size_t due = 0;
-        std::size_t right = 0;
+        std::size_t correct = 0;
         const Usage::WindowNumber first = Usage::windowOf(trueTime(Instant(std::chrono::seconds(1000))), window) + 1;
         for (Usage::WindowNumber number = first; Usage::endOf(number, window) + dueAfter.count() < trueTime(m_now); ++number) {
             ++due;
@@ -108,13 +110,13 @@
             if (reported == m_reports.end() || reported->second.at > Usage::endOf(number, window) + dueAfter.count()) {
                 continue;
             }
-            const auto truth = m_truth.find(number);
-            const double begun = truth == m_truth.end() ? 0.0 : static_cast<double>(truth->second);
-            const auto told = reported->second.counts.find("small");
-            const double count = told == reported->second.counts.end() ? 0.0 : static_cast<double>(told->second);
-            right += std::abs(count - begun) <= tolerance * begun + 1.0 ? 1 : 0;
+            const auto entry = m_begun.find(number);
+            const double begun = entry == m_begun.end() ? 0.0 : static_cast<double>(entry->second);
+            const auto counted = reported->second.counts.find("small");
+            const double count = counted == reported->second.counts.end() ? 0.0 : static_cast<double>(counted->second);
+            correct += std::abs(count - begun) <= tolerance * begun + 1.0 ? 1 : 0;
         }
-        return {due, right};
+        return {due, correct};
     }
 
     std::uint64_t calls() const
@@ -134,49 +136,49 @@
         }
     };
 
-    /// One process's way to the platform; answers to a process that has ended go nowhere.
-    class Wire
+    /// A process's connection to the store and the platform. Responses to a process that has ended are discarded.
+    class PlatformConnection
     {
     public:
-        Wire(Simulation &simulation, std::size_t host, std::uint64_t life)
+        PlatformConnection(Simulation &simulation, std::size_t host, std::uint64_t incarnation)
             : m_simulation(simulation)
             , m_host(host)
-            , m_life(life)
+            , m_incarnation(incarnation)
         {
         }
 
         void readRow(const std::string &, const std::function<void(const std::optional<StoredRow> &)> &handler)
         {
-            m_simulation.read(m_host, m_life, handler);
+            m_simulation.read(m_host, m_incarnation, handler);
         }
 
         void writeRow(const std::string &, std::uint64_t expected, const std::string &value,
                       const std::function<void(WriteResult, std::uint64_t, const std::optional<StoredRow> &)> &handler)
         {
-            m_simulation.write(m_host, m_life, expected, value, handler);
+            m_simulation.write(m_host, m_incarnation, expected, value, handler);
         }
 
         void report(const std::string &, const Usage::ReportUsage &report,
                     const std::function<void(ReportResult, const std::string &)> &handler)
         {
-            m_simulation.report(m_host, m_life, report, handler);
+            m_simulation.report(m_host, m_incarnation, report, handler);
         }
 
     private:
         Simulation &m_simulation;
         std::size_t m_host;
-        std::uint64_t m_life;
+        std::uint64_t m_incarnation;
     };
 
     struct Host
     {
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
         bool up = false;
         Instant frozenUntil {};
         bool cutFromStore = false;
-        std::unique_ptr<Wire> wire;
-        std::unique_ptr<Node::UsageDuty<Wire>> duty;
-        std::vector<std::function<void()>> held; ///< answers that come while it is frozen
+        std::unique_ptr<PlatformConnection> connection;
+        std::unique_ptr<Node::UsageDuty<PlatformConnection>> duty;
+        std::vector<std::function<void()>> delayed; ///< responses that arrived while the process was frozen
     };
 
     struct Report
@@ -185,7 +187,7 @@
         Usage::FleetTime at = 0;
     };
 
-    struct Act
+    struct ReportTime
     {
         Instant at {};
         std::size_t host = 0;
@@ -215,21 +217,21 @@
     void start(std::size_t index)
     {
         Host &host = m_hosts[index];
-        host.life = m_nextLife++;
+        host.incarnation = m_nextIncarnation++;
         host.up = true;
-        host.held.clear();
-        host.wire = std::make_unique<Wire>(*this, index, host.life);
-        // The time of day is off by some milliseconds, and by seconds at a few.
-        Duration off = between(-20, 20);
+        host.delayed.clear();
+        host.connection = std::make_unique<PlatformConnection>(*this, index, host.incarnation);
+        // The time of day is wrong by some milliseconds, and by seconds at a few hosts.
+        Duration clockError = between(-20, 20);
         if (m_options.faultsASecond > 0 && chance(0.1)) {
-            off += between(-5000, 5000);
+            clockError += between(-5000, 5000);
         }
         Node::UsageDutyOptions options {
-            .host = nameOf(index), .incarnation = host.life, .reporter = {}, .clock = [this] { return m_now; }};
+            .host = nameOf(index), .incarnation = host.incarnation, .reporter = {}, .clock = [this] { return m_now; }};
         options.reporter.window = window;
         options.reporter.lease = m_options.lease;
-        host.duty = std::make_unique<Node::UsageDuty<Wire>>(
-            *host.wire, options, m_now, trueTime(m_now) + off.count(),
+        host.duty = std::make_unique<Node::UsageDuty<PlatformConnection>>(
+            *host.connection, options, m_now, trueTime(m_now) + clockError.count(),
             [this, index](const std::string &to, Peer::Message message) { send(index, to, std::move(message)); });
     }
 
@@ -238,25 +240,25 @@
         Host &host = m_hosts[index];
         host.up = false;
         host.frozenUntil = {};
-        ++host.life;
-        m_events.push({m_now + between(300, 3000), [this, index, life = host.life] {
-                           if (!m_hosts[index].up && m_hosts[index].life == life) {
-                               m_nextLife = std::max(m_nextLife, life + 1);
+        ++host.incarnation;
+        m_events.push({m_now + between(300, 3000), [this, index, incarnation = host.incarnation] {
+                           if (!m_hosts[index].up && m_hosts[index].incarnation == incarnation) {
+                               m_nextIncarnation = std::max(m_nextIncarnation, incarnation + 1);
                                start(index);
                            }
                        }});
-        m_nextLife = std::max(m_nextLife, host.life + 1);
+        m_nextIncarnation = std::max(m_nextIncarnation, host.incarnation + 1);
     }
 
-    /// One that reported last is hit as often as all others together.
-    std::size_t victim()
+    /// Returns the host for the next fault. The one that reported last is chosen as often as all others together.
+    std::size_t hostToFail()
     {
         return chance(0.5) && m_lastReporter < m_hosts.size() ? m_lastReporter : m_random() % m_hosts.size();
     }
 
     void fault()
     {
-        const std::size_t host = victim();
+        const std::size_t host = hostToFail();
         switch (m_random() % 9) {
         case 0:
             kill(host);
@@ -272,7 +274,7 @@
             m_storeDownUntil = m_now + between(200, 7000);
             break;
         case 4:
-            m_loseUntil = m_now + between(500, 5000);
+            m_loseResponsesUntil = m_now + between(500, 5000);
             break;
         case 5:
             m_platformDownUntil = m_now + between(200, 6000);
@@ -288,7 +290,7 @@
             }
             break;
         default:
-            m_swallowUntil = m_now + between(500, 4000);
+            m_ignoreCallsUntil = m_now + between(500, 4000);
             break;
         }
     }
@@ -297,12 +299,12 @@
     {
         std::vector<Peer::Member> present;
         for (std::size_t index = 0; index < m_hosts.size(); ++index) {
-            // A frozen host is found out after a while; a dead one sooner.
+            // A stopped host is missing at once. A frozen one is missing if it remains frozen for more than three seconds.
             const bool longFrozen = m_hosts[index].frozenUntil > m_now + std::chrono::seconds(3);
             if (m_hosts[index].up && !longFrozen) {
                 Peer::Member member;
                 member.name = nameOf(index);
-                member.incarnation = m_hosts[index].life;
+                member.incarnation = m_hosts[index].incarnation;
                 present.push_back(member);
             }
         }
@@ -320,12 +322,12 @@
         if (!host.up || isFrozen(index)) {
             return;
         }
-        for (const auto &answer : std::exchange(host.held, {})) {
-            answer();
+        for (const auto &response : std::exchange(host.delayed, {})) {
+            response();
         }
         for (int request = 0; request < 3; ++request) {
             if (chance(0.3)) {
-                ++m_truth[Usage::windowOf(trueTime(m_now), window)];
+                ++m_begun[Usage::windowOf(trueTime(m_now), window)];
                 host.duty->began(m_now, "small");
             }
         }
@@ -333,17 +335,17 @@
         host.duty->tick(m_now);
     }
 
-    /// Runs @p answer at the process if it still lives, when it is not frozen.
-    void deliver(std::size_t index, std::uint64_t life, Instant due, std::function<void()> answer)
+    /// Calls @p response at @p due if the process still runs. A frozen process gets it later.
+    void deliver(std::size_t index, std::uint64_t incarnation, Instant due, std::function<void()> response)
     {
-        m_events.push({due, [this, index, life, answer = std::move(answer)] {
-                           if (m_hosts[index].life != life || !m_hosts[index].up) {
+        m_events.push({due, [this, index, incarnation, response = std::move(response)] {
+                           if (m_hosts[index].incarnation != incarnation || !m_hosts[index].up) {
                                return;
                            }
                            if (isFrozen(index)) {
-                               m_hosts[index].held.push_back(answer);
+                               m_hosts[index].delayed.push_back(response);
                            } else {
-                               answer();
+                               response();
                            }
                        }});
     }
@@ -351,11 +353,11 @@
     void send(std::size_t from, const std::string &to, Peer::Message message)
     {
         const std::size_t index = std::stoul(to.substr(1));
-        const std::uint64_t life = m_hosts[from].life;
-        const std::uint64_t toLife = m_hosts[index].life;
-        deliver(index, toLife, m_now + milliseconds(1), [this, from, index, life, message = std::move(message)] {
+        const std::uint64_t incarnation = m_hosts[from].incarnation;
+        const std::uint64_t toIncarnation = m_hosts[index].incarnation;
+        deliver(index, toIncarnation, m_now + milliseconds(1), [this, from, index, incarnation, message = std::move(message)] {
             if (const auto *counts = std::get_if<Peer::UsageCounts>(&message)) {
-                m_hosts[index].duty->receive(m_now, nameOf(from), life, *counts);
+                m_hosts[index].duty->receive(m_now, nameOf(from), incarnation, *counts);
             } else if (const auto *received = std::get_if<Peer::UsageReceived>(&message)) {
                 m_hosts[index].duty->receive(m_now, nameOf(from), *received);
             }
@@ -374,22 +376,22 @@
         return {m_rowVersion, m_rowValue};
     }
 
-    void read(std::size_t host, std::uint64_t life, const std::function<void(const std::optional<StoredRow> &)> &handler)
+    void read(std::size_t host, std::uint64_t incarnation, const std::function<void(const std::optional<StoredRow> &)> &handler)
     {
         ++m_calls;
         const Duration time = storeTime();
-        const bool unanswered = m_hosts[host].cutFromStore || m_now < m_swallowUntil || time > storeTimeout;
+        const bool unanswered = m_hosts[host].cutFromStore || m_now < m_ignoreCallsUntil || time > storeTimeout;
         if (unanswered || m_now < m_storeDownUntil) {
             const Duration after = unanswered ? storeTimeout : milliseconds(5);
-            deliver(host, life, m_now + after, [handler] { handler(std::nullopt); });
+            deliver(host, incarnation, m_now + after, [handler] { handler(std::nullopt); });
             return;
         }
-        m_events.push({m_now + time / 2, [this, host, life, time, handler] {
-                           deliver(host, life, m_now + time / 2, [handler, seen = row()] { handler(seen); });
+        m_events.push({m_now + time / 2, [this, host, incarnation, time, handler] {
+                           deliver(host, incarnation, m_now + time / 2, [handler, seen = row()] { handler(seen); });
                        }});
     }
 
-    /// Takes the write if its condition holds.
+    /// Writes the row if it has the expected version.
     bool commit(std::uint64_t expected, const std::string &value)
     {
         if (m_rowVersion != expected) {
@@ -400,59 +402,59 @@
         return true;
     }
 
-    void write(std::size_t host, std::uint64_t life, std::uint64_t expected, const std::string &value,
+    void write(std::size_t host, std::uint64_t incarnation, std::uint64_t expected, const std::string &value,
                const std::function<void(WriteResult, std::uint64_t, const std::optional<StoredRow> &)> &handler)
     {
         ++m_calls;
         if (m_hosts[host].cutFromStore) {
-            deliver(host, life, m_now + storeTimeout, [handler] { handler(WriteResult::Undetermined, 0, std::nullopt); });
+            deliver(host, incarnation, m_now + storeTimeout, [handler] { handler(WriteResult::Undetermined, 0, std::nullopt); });
             return;
         }
         if (m_now < m_storeDownUntil) {
-            deliver(host, life, m_now + milliseconds(5), [handler] { handler(WriteResult::NotDone, 0, std::nullopt); });
+            deliver(host, incarnation, m_now + milliseconds(5), [handler] { handler(WriteResult::NotDone, 0, std::nullopt); });
             return;
         }
-        const bool lost = m_now < m_loseUntil || m_now < m_swallowUntil;
-        // A write without an answer may be done seconds later, if its condition still holds then.
+        const bool lost = m_now < m_loseResponsesUntil || m_now < m_ignoreCallsUntil;
+        // A write without a response may be carried out seconds later, if the row still has the expected version then.
         const Duration time = lost && chance(0.5) ? between(100, 6000) : storeTime();
         const bool unanswered = lost || time > storeTimeout;
-        m_events.push({m_now + time / 2, [this, host, life, expected, value, handler, unanswered, time] {
+        m_events.push({m_now + time / 2, [this, host, incarnation, expected, value, handler, unanswered, time] {
                            m_nextVersion += m_random() % 3;
                            const bool done = commit(expected, value);
                            if (!unanswered) {
-                               deliver(host, life, m_now + time / 2, [handler, done, seen = row()] {
+                               deliver(host, incarnation, m_now + time / 2, [handler, done, seen = row()] {
                                    handler(done ? WriteResult::Done : WriteResult::Refused, done ? seen.version : 0,
                                            done ? std::nullopt : std::optional(seen));
                                });
                            }
                        }});
         if (unanswered) {
-            deliver(host, life, m_now + storeTimeout, [handler] { handler(WriteResult::Undetermined, 0, std::nullopt); });
+            deliver(host, incarnation, m_now + storeTimeout, [handler] { handler(WriteResult::Undetermined, 0, std::nullopt); });
         }
     }
 
-    void report(std::size_t host, std::uint64_t life, const Usage::ReportUsage &report,
+    void report(std::size_t host, std::uint64_t incarnation, const Usage::ReportUsage &report,
                 const std::function<void(ReportResult, const std::string &)> &handler)
     {
         ++m_calls;
         m_lastReporter = host;
         if (m_now < m_platformDownUntil) {
-            deliver(host, life, m_now + milliseconds(5), [handler] { handler(ReportResult::TryAgain, "503"); });
+            deliver(host, incarnation, m_now + milliseconds(5), [handler] { handler(ReportResult::TryAgain, "503"); });
             return;
         }
-        const Duration way = m_now < m_slowUntil ? between(1, 2500) : milliseconds(1);
-        // The connection is reset when the time is over: what has not arrived by then never does.
-        if (way < report.timeout) {
-            m_events.push({m_now + way, [this, host, report] { judge(host, report); }});
+        const Duration delay = m_now < m_slowUntil ? between(1, 2500) : milliseconds(1);
+        // The connection is reset after the timeout. A report that has not arrived by then never arrives.
+        if (delay < report.timeout) {
+            m_events.push({m_now + delay, [this, host, report] { checkReport(host, report); }});
         }
-        const bool answered = way * 2 < report.timeout && !(m_now < m_loseUntil && chance(0.5));
-        const Duration after = answered ? way * 2 : report.timeout;
-        deliver(host, life, m_now + after, [handler, answered] {
+        const bool answered = delay * 2 < report.timeout && !(m_now < m_loseResponsesUntil && chance(0.5));
+        const Duration after = answered ? delay * 2 : report.timeout;
+        deliver(host, incarnation, m_now + after, [handler, answered] {
             handler(answered ? ReportResult::Accepted : ReportResult::TryAgain, answered ? "200" : "none");
         });
     }
 
-    void judge(std::size_t host, const Usage::ReportUsage &report)
+    void checkReport(std::size_t host, const Usage::ReportUsage &report)
     {
         const auto [entry, first] = m_reports.try_emplace(report.usage.window, Report {report.usage.counts, trueTime(m_now)});
         m_violations.differing += !first && entry->second.counts != report.usage.counts ? 1 : 0;
@@ -461,14 +463,15 @@
         m_violations.lowerFence += report.fence < m_highestFence ? 1 : 0;
         m_highestFence = std::max(m_highestFence, report.fence);
         bool anotherSince = false;
-        for (auto act = m_acts.rbegin(); act != m_acts.rend() && m_now - act->at <= leaseTime; ++act) {
-            if (act->host == host && anotherSince) {
-                ++m_violations.takenInTurns;
+        for (auto previous = m_reportTimes.rbegin(); previous != m_reportTimes.rend() && m_now - previous->at <= leaseTime;
+             ++previous) {
+            if (previous->host == host && anotherSince) {
+                ++m_violations.alternatingHosts;
                 break;
             }
-            anotherSince = anotherSince || act->host != host;
+            anotherSince = anotherSince || previous->host != host;
         }
-        m_acts.push_back({m_now, host});
+        m_reportTimes.push_back({m_now, host});
     }
 
     SimulationOptions m_options;
@@ -476,24 +479,24 @@
     std::vector<Host> m_hosts;
     std::priority_queue<Event> m_events;
     Instant m_now = Instant(std::chrono::seconds(1000));
-    std::uint64_t m_nextLife = 1;
+    std::uint64_t m_nextIncarnation = 1;
     std::size_t m_lastReporter = 1'000'000;
     // The store
     std::uint64_t m_rowVersion = 0;
     std::uint64_t m_nextVersion = 100;
     std::string m_rowValue;
     Instant m_storeDownUntil {};
-    Instant m_loseUntil {};
+    Instant m_loseResponsesUntil {};
     Instant m_slowUntil {};
-    Instant m_swallowUntil {};
+    Instant m_ignoreCallsUntil {};
     // The platform
     Instant m_platformDownUntil {};
     std::map<Usage::WindowNumber, Report> m_reports;
     std::map<std::uint64_t, std::size_t> m_fenceOwners;
     std::uint64_t m_highestFence = 0;
-    std::vector<Act> m_acts;
+    std::vector<ReportTime> m_reportTimes;
     Violations m_violations;
-    std::map<Usage::WindowNumber, std::uint64_t> m_truth;
+    std::map<Usage::WindowNumber, std::uint64_t> m_begun;
     std::uint64_t m_calls = 0;
 };
 
@@ -501,65 +504,65 @@
 
 TEST_GROUP(UsageDuty) {};
 
-/// With all well, each window is reported in time by two calls. The hosts' clocks are off by up to 20 ms, as they stay.
+/// Without faults, each window is reported in time with two calls. The hosts' clocks are wrong by up to 20 ms throughout.
 TEST(UsageDuty, eachWindowIsReportedInTimeByTwoCalls)
 {
     Simulation simulation({.faultsASecond = 0}, 1);
     simulation.run();
-    const auto [due, right] = simulation.dueAndRight(0.01);
+    const auto [due, correct] = simulation.countDueAndCorrect(0.01);
     CHECK_TRUE(due >= 14);
-    CHECK_EQUAL(due, right);
+    CHECK_EQUAL(due, correct);
     CHECK_EQUAL(0U, simulation.violations().all());
-    // Eighteen windows end in the run; a read and a few more calls are made until the first holder is known.
+    // 18 windows end during the run. A read and a few more calls are made until the first holder is known.
     constexpr std::uint64_t windows = 18;
     constexpr std::uint64_t callsToBegin = 4;
     CHECK_TRUE(simulation.calls() <= 2 * windows + callsToBegin);
 }
 
-/// Hosts are killed, frozen, cut off and restarted, the one that reported last first; clocks are off by seconds; the store and
-/// the platform are down, slow, swallow calls and lose answers, also of writes that are done seconds later.
-TEST(UsageDuty, oneHolderAtATimeInRandomRuns)
+/// Hosts are killed, frozen, cut off and restarted, most often the one that reported last. Clocks are wrong by seconds. The store
+/// and the platform are down or slow, do not answer, or lose responses, also those of writes that are carried out seconds later.
+TEST(UsageDuty, oneHostReportsAtATimeUnderRandomFaults)
 {
     constexpr std::uint64_t seeds = 200;
     std::size_t due = 0;
-    std::size_t right = 0;
+    std::size_t correct = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         Simulation simulation({}, seed);
         simulation.run();
         const Violations &seen = simulation.violations();
         if (seen.all() > 0) {
             fmt::print("seed {}: differing {}, shared fences {}, lower fences {}, in turns {}\n", seed, seen.differing,
-                       seen.sharedFence, seen.lowerFence, seen.takenInTurns);
+                       seen.sharedFence, seen.lowerFence, seen.alternatingHosts);
         }
         CHECK_EQUAL(0U, seen.all());
-        const auto [dueHere, rightHere] = simulation.dueAndRight(0.05);
+        const auto [dueHere, correctHere] = simulation.countDueAndCorrect(0.05);
         due += dueHere;
-        right += rightHere;
+        correct += correctHere;
     }
-    fmt::print("a fault each 2.5 s: {} of {} windows reported in time and within 5 %\n", right, due);
+    fmt::print("a fault each 2.5 s: {} of {} windows reported in time and within 5 %\n", correct, due);
 }
 
-/// A fault of any of those kinds each 15 s, lasting up to 9 s, and half of them at the host that reports: most windows are still
-/// reported in time with all that was begun, since what a window lacks is bounded by what one killed host had not told yet.
-TEST(UsageDuty, mostWindowsAreReportedThroughFaults)
+/// The same faults occur every 15 s on average, last up to 9 s, and half of them hit the host that reports. Most windows are
+/// still reported in time and with the right counts, because a killed host loses only the counts that it had not sent yet.
+TEST(UsageDuty, mostWindowsAreReportedUnderFaults)
 {
     constexpr std::uint64_t seeds = 40;
     std::size_t due = 0;
-    std::size_t right = 0;
+    std::size_t correct = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         Simulation simulation({.faultsASecond = 1.0 / 15.0}, seed);
         simulation.run();
         CHECK_EQUAL(0U, simulation.violations().all());
-        const auto [dueHere, rightHere] = simulation.dueAndRight(0.05);
+        const auto [dueHere, correctHere] = simulation.countDueAndCorrect(0.05);
         due += dueHere;
-        right += rightHere;
+        correct += correctHere;
     }
-    fmt::print("a fault each 15 s: {} of {} windows reported in time and within 5 %\n", right, due);
-    CHECK_TRUE(right * 10 > due * 6);
+    fmt::print("a fault each 15 s: {} of {} windows reported in time and within 5 %\n", correct, due);
+    CHECK_TRUE(correct * 10 > due * 6);
 }
 
-/// The simulation's platform notices a lease without a margin: a successor that waits for no longer than the holder may act.
-TEST(UsageDuty, aLeaseWithoutAMarginIsNoticed)
+/// The simulated platform detects a lease without a margin, where the next holder waits no longer than the present one may act.
+TEST(UsageDuty, detectsALeaseWithoutAMargin)
 {
     std::uint64_t seen = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
