--- a/Source/Peer/message.h
+++ b/Source/Peer/message.h
@@ -39,7 +39,7 @@
     Base::Instant sentAt {}; ///< time of sending on the home's clock
     std::uint32_t promptTokens = 0; ///< estimated length of the prompt
     std::vector<std::uint64_t> prefix; ///< hashes of the prompt's prefixes, the shortest first
-    std::uint32_t avoid = 0; ///< endpoint of the failed attempt; 0 for none
+    std::uint32_t avoid = 0; ///< endpoint of the previous attempt, which failed; 0 for none
     int rank = 0; ///< rank of the request: 1 is the highest, 0 stands for the rank of its class
     std::uint32_t expectedTokens = 0; ///< expected length of the response; 0 if not known
     std::vector<std::uint32_t> prefixTokens; ///< prompt tokens up to the end of each entry of prefix; may be empty
@@ -220,7 +220,7 @@
 /// Reply to FollowStore.
 struct FollowAnswer
 {
-    bool follows = false; ///< false if the store does not answer this host either
+    bool follows = false; ///< false if the store does not answer the host that replies either
 };
 
 /// A query that the receiver answers from its own state.
--- a/Source/Scaling/scaler.cpp
+++ b/Source/Scaling/scaler.cpp
@@ -30,7 +30,8 @@
 /// Minimum time between orders that give up endpoints while requests run. Only one data centre is reduced at a time, because the
 /// prompt prefixes that its endpoints cache are lost.
 constexpr Duration shrinkInterval = std::chrono::seconds(5);
-/// A host takes over from another holder when orders have been needed for this long, and takeOverStep longer for each rank.
+/// A host takes over from another holder when orders have been needed for this long, and takeOverStep longer for each host that
+/// comes before it.
 constexpr Duration takeOverAfter = std::chrono::seconds(2);
 constexpr Duration takeOverStep = std::chrono::seconds(6);
 constexpr Duration readPeriod = std::chrono::milliseconds(1000);
--- a/Source/Scaling/scaler.h
+++ b/Source/Scaling/scaler.h
@@ -111,8 +111,12 @@
 
     /// Takes the result of a read. The version is 0 if there is no row; @p row is empty if the store did not answer.
     void onRowRead(Base::Instant now, const std::optional<Lease::StoredRow> &row);
+
+    /// Takes the result of a write. @p row is the stored row if it had another version than expected.
     void onRowWritten(Base::Instant now, Lease::WriteResult result, std::uint64_t version,
                       const std::optional<Lease::StoredRow> &row);
+
+    /// Takes the platform's response to @p order.
     void onOrdered(Base::Instant now, const Order &order, OrderResult result);
 
     bool isHolder() const;
@@ -136,7 +140,7 @@
     std::uint64_t m_incarnation;
     Lease::Lease m_lease;
     std::string m_rowHost;
-    bool m_rowKnown = false;
+    bool m_rowKnown = false; ///< the row has been read at least once
     bool m_rowHasBaselines = false;
     std::vector<PoolBaseline> m_baselines;
     Base::Instant m_baselinesGrewAt {};
--- a/Source/Usage/usagecounts.h
+++ b/Source/Usage/usagecounts.h
@@ -31,7 +31,7 @@
 /// Number of windows that a host or a collector keeps. They cover a change of the holder and an outage of a few windows.
 inline constexpr WindowNumber keptWindows = 6;
 
-/// Counts of one host: the requests that its runs' endpoints began.
+/// Counts of the requests that endpoints began for one host.
 class HostCounts
 {
 public:
@@ -58,6 +58,7 @@
     void update(Base::Instant now, const std::string &host, std::uint64_t incarnation, Base::Duration clockOffset,
                 const std::vector<Peer::UsageEntry> &entries);
 
+    /// Returns the sum over all hosts.
     WindowCounts total(WindowNumber window) const;
 
     /// Returns the median clock offset of the hosts that sent counts recently.
--- a/Source/Usage/usagereporter.cpp
+++ b/Source/Usage/usagereporter.cpp
@@ -18,7 +18,8 @@
 using Base::Instant;
 using Lease::WriteResult;
 
-/// Another host takes over the duty if a window is not fixed this long after it was due. Each rank waits takeOverStep longer.
+/// Another host takes over the duty if a window is not fixed this long after it was due, and takeOverStep longer for each host
+/// that comes before it.
 constexpr Duration takeOverAfter = std::chrono::milliseconds(1000);
 constexpr Duration takeOverStep = std::chrono::milliseconds(1200);
 /// Minimum time between two reads of the row while the former holder's lease may last; it keeps the number of calls low.
--- a/Source/Usage/usagereporter.h
+++ b/Source/Usage/usagereporter.h
@@ -62,7 +62,7 @@
     std::uint64_t fence = 0; ///< fencing token; 0 if the lease has expired
     std::string host; ///< last writer of the row, as far as this host knows
     WindowNumber fixedUpTo = 0; ///< newest fixed window
-    WindowNumber reportedUpTo = 0; ///< newest window that this host has reported
+    WindowNumber reportedUpTo = 0; ///< newest window whose report the platform has accepted or rejected
     std::size_t unreported = 0; ///< fixed windows that the platform has not accepted yet
 };
 
@@ -87,6 +87,8 @@
     /// Takes the result of a write. @p row is the stored row if it had another version than expected.
     void onRowWritten(Base::Instant now, Lease::WriteResult result, std::uint64_t version,
                       const std::optional<Lease::StoredRow> &row);
+
+    /// Takes the platform's response to the report of @p window.
     void onReported(Base::Instant now, WindowNumber window, ReportResult result);
 
     /// Records that another host has fixed all windows up to @p window.
