--- a/Source/Dispatch/dispatcher.cpp
+++ b/Source/Dispatch/dispatcher.cpp
@@ -71,14 +71,14 @@
 void Dispatcher::receive(Base::Instant now, const Home &home, const Peer::EndpointNews &news)
 {
     if (const auto shard = m_shards.find(news.shard); shard != m_shards.end()) {
-        shard->second.hearEndpoint(now, home, news);
+        shard->second.applyEndpointUpdate(now, home, news);
     }
 }
 
-void Dispatcher::homeGone(Base::Instant now, const std::string &name, std::uint64_t keep)
+void Dispatcher::removeHome(Base::Instant now, const std::string &name, std::uint64_t keep)
 {
     for (Shard &shard : m_shards | std::views::values) {
-        shard.homeGone(now, name, keep);
+        shard.removeHome(now, name, keep);
     }
 }
 
--- a/Source/Dispatch/dispatcher.h
+++ b/Source/Dispatch/dispatcher.h
@@ -31,7 +31,7 @@
     void receive(Base::Instant now, const Home &home, const Peer::EndpointNews &news);
 
     /// Drops everything of a member's incarnations other than @p keep (0: all).
-    void homeGone(Base::Instant now, const std::string &name, std::uint64_t keep);
+    void removeHome(Base::Instant now, const std::string &name, std::uint64_t keep);
 
     /// The endpoints that the platform lists as leaving.
     void setLeaving(Base::Instant now, std::vector<std::uint32_t> endpoints);
--- a/Source/Dispatch/endpointstates.cpp
+++ b/Source/Dispatch/endpointstates.cpp
@@ -15,7 +15,7 @@
 
 using Base::Duration;
 
-constexpr std::size_t leastToCompare = 3;
+constexpr std::size_t minEndpointsToCompare = 3;
 
 template<typename Value>
 Value medianOf(std::vector<Value> values)
@@ -26,13 +26,13 @@
 }
 
 /// What @p told tells of each healthy endpoint, where it tells something.
-template<typename Told>
-auto ofHealthy(const EndpointStates &endpoints, Told told)
+template<typename Getter>
+auto valuesOfHealthy(const EndpointStates &endpoints, Getter getter)
 {
-    using Value = typename std::invoke_result_t<Told, const Health &>::value_type;
+    using Value = typename std::invoke_result_t<Getter, const Health &>::value_type;
     std::vector<Value> found;
     for (const EndpointState &state : endpoints | std::views::values) {
-        const std::optional<Value> entry = told(state.health);
+        const std::optional<Value> entry = getter(state.health);
         if (entry && state.health.state() == HealthState::Healthy) {
             found.push_back(*entry);
         }
@@ -44,10 +44,10 @@
 
 bool EndpointState::isUsable() const
 {
-    return !drained && !leaving && !gone && !saysItLeaves;
+    return !drained && !leaving && !replaced && !announcedLeaving;
 }
 
-bool EndpointState::takesWork() const
+bool EndpointState::acceptsWork() const
 {
     return isUsable() && health.state() != HealthState::Ejected;
 }
@@ -57,57 +57,58 @@
     return std::visit([](const auto &policy) { return policy.size(); }, window);
 }
 
-std::size_t windowsOf(const EndpointStates &endpoints)
+std::size_t totalWindow(const EndpointStates &endpoints)
 {
     return std::transform_reduce(endpoints.begin(), endpoints.end(), std::size_t {0}, std::plus {}, [](const auto &entry) {
         const EndpointState &state = entry.second;
-        if (!state.isUsable() || state.rests.areOfAll()) {
+        if (!state.isUsable() || state.cooldowns.coversAllHomes()) {
             return std::size_t {0};
         }
         // The slots of an endpoint that limits its rate are not there to be filled.
-        const double begunInASecond
-            = state.pace.isLimited() ? std::ceil(Rate::pacedRate(state.pace.known())) : state.windowSize();
-        return std::size_t {std::min(state.windowSize(), static_cast<std::uint32_t>(begunInASecond))};
+        const double startsPerSecond
+            = state.rateLimiter.isLimited() ? std::ceil(Rate::pacedRate(state.rateLimiter.known())) : state.windowSize();
+        return std::size_t {std::min(state.windowSize(), static_cast<std::uint32_t>(startsPerSecond))};
     });
 }
 
-std::size_t runningOn(const EndpointStates &endpoints)
+std::size_t totalRunning(const EndpointStates &endpoints)
 {
     return std::transform_reduce(endpoints.begin(), endpoints.end(), std::size_t {0}, std::plus {},
                                  [](const auto &entry) { return std::size_t {entry.second.running}; });
 }
 
-std::size_t ejectedOf(const EndpointStates &endpoints)
+std::size_t ejectedCount(const EndpointStates &endpoints)
 {
     const auto isEjected = [](const EndpointState &state) { return state.health.state() == HealthState::Ejected; };
     return static_cast<std::size_t>(std::ranges::count_if(endpoints | std::views::values, isEjected));
 }
 
-std::optional<Duration> medianPace(const EndpointStates &endpoints)
+std::optional<Duration> medianInterTokenLatency(const EndpointStates &endpoints)
 {
-    const std::vector<Duration> paces = ofHealthy(endpoints, [](const Health &health) { return health.pace(); });
-    return paces.size() < leastToCompare ? std::nullopt : std::optional(medianOf(paces));
+    const std::vector<Duration> paces
+        = valuesOfHealthy(endpoints, [](const Health &health) { return health.interTokenLatency(); });
+    return paces.size() < minEndpointsToCompare ? std::nullopt : std::optional(medianOf(paces));
 }
 
 std::optional<double> medianErrorShare(const EndpointStates &endpoints)
 {
-    const std::vector<double> shares = ofHealthy(endpoints, [](const Health &health) { return health.errorShare(); });
-    return shares.size() < leastToCompare ? std::nullopt : std::optional(medianOf(shares));
+    const std::vector<double> shares = valuesOfHealthy(endpoints, [](const Health &health) { return health.errorShare(); });
+    return shares.size() < minEndpointsToCompare ? std::nullopt : std::optional(medianOf(shares));
 }
 
 std::optional<Duration> medianFirstToken(const EndpointStates &endpoints)
 {
-    const std::vector<Duration> times = ofHealthy(endpoints, [](const Health &health) { return health.firstToken(); });
+    const std::vector<Duration> times = valuesOfHealthy(endpoints, [](const Health &health) { return health.firstToken(); });
     return times.empty() ? std::nullopt : std::optional(medianOf(times));
 }
 
-std::vector<Candidate> usableOf(const EndpointStates &endpoints, Base::Instant now)
+std::vector<Candidate> usableCandidates(const EndpointStates &endpoints, Base::Instant now)
 {
     std::vector<Candidate> open;
     std::vector<Candidate> used;
     for (const auto &[number, state] : endpoints) {
-        if (state.takesWork()) {
-            const bool isOpen = state.pace.left(now) > 0 && state.rests.allowSome(now);
+        if (state.acceptsWork()) {
+            const bool isOpen = state.rateLimiter.left(now) > 0 && state.cooldowns.allowsAnyHome(now);
             std::vector<Candidate> &found = isOpen ? open : used;
             found.push_back({number, state.running, std::max(1U, state.slots), state.memoryTokens, state.movedTokensPerMs});
         }
@@ -115,43 +116,44 @@
     return open.empty() ? used : open;
 }
 
-bool allRest(const EndpointStates &endpoints, Base::Instant now)
+bool allHaveCooldowns(const EndpointStates &endpoints, Base::Instant now)
 {
-    return std::ranges::all_of(endpoints | std::views::values,
-                               [now](const EndpointState &state) { return !state.takesWork() || state.rests.any(now); });
+    return std::ranges::all_of(endpoints | std::views::values, [now](const EndpointState &state) {
+        return !state.acceptsWork() || state.cooldowns.isActive(now);
+    });
 }
 
-Duration restOf(const EndpointStates &endpoints, Base::Instant now, std::uint64_t home)
+Duration remainingCooldown(const EndpointStates &endpoints, Base::Instant now, std::uint64_t home)
 {
     std::optional<Duration> shortest;
     for (const EndpointState &state : endpoints | std::views::values) {
-        if (state.takesWork()) {
-            const Duration rest = std::max(Duration::zero(), state.rests.end(home) - now);
-            shortest = std::min(rest, shortest.value_or(rest));
+        if (state.acceptsWork()) {
+            const Duration cooldown = std::max(Duration::zero(), state.cooldowns.endFor(home) - now);
+            shortest = std::min(cooldown, shortest.value_or(cooldown));
         }
     }
     return shortest.value_or(Duration::zero());
 }
 
-Duration PooledPace::waitBehind(std::size_t before) const
+Duration PooledRate::waitBehind(std::size_t ahead) const
 {
-    const double missing = static_cast<double>(before + 1) - left;
+    const double missing = static_cast<double>(ahead + 1) - left;
     return missing <= 0 ? Duration::zero()
                         : std::chrono::duration_cast<Duration>(std::chrono::duration<double>(missing / perSecond));
 }
 
-std::optional<PooledPace> pooledPace(const EndpointStates &endpoints, Base::Instant now)
+std::optional<PooledRate> pooledRate(const EndpointStates &endpoints, Base::Instant now)
 {
-    PooledPace pooled;
+    PooledRate pooled;
     for (const EndpointState &state : endpoints | std::views::values) {
-        if (!state.takesWork()) {
+        if (!state.acceptsWork()) {
             continue;
         }
-        if (!state.pace.isLimited()) {
+        if (!state.rateLimiter.isLimited()) {
             return std::nullopt;
         }
-        pooled.left += state.pace.left(now);
-        pooled.perSecond += Rate::pacedRate(state.pace.known());
+        pooled.left += state.rateLimiter.left(now);
+        pooled.perSecond += Rate::pacedRate(state.rateLimiter.known());
     }
     return pooled.perSecond > 0 ? std::optional(pooled) : std::nullopt;
 }
@@ -161,10 +163,11 @@
     std::vector<EndpointView> views;
     views.reserve(endpoints.size());
     for (const auto &[number, state] : endpoints) {
-        const Rate::KnownRate &rate = state.pace.known();
-        views.push_back({number, state.running, state.windowSize(), state.health.state(), !state.isUsable(), state.saysItLeaves,
-                         state.rests.areOfAll(), Base::milliseconds(state.health.firstToken().value_or(Duration::zero())),
-                         Base::milliseconds(state.health.pace().value_or(Duration::zero())),
+        const Rate::KnownRate &rate = state.rateLimiter.known();
+        views.push_back({number, state.running, state.windowSize(), state.health.state(), !state.isUsable(),
+                         state.announcedLeaving, state.cooldowns.coversAllHomes(),
+                         Base::milliseconds(state.health.firstToken().value_or(Duration::zero())),
+                         Base::milliseconds(state.health.interTokenLatency().value_or(Duration::zero())),
                          rate.isLimited() ? std::optional(rate.perSecond) : std::nullopt});
     }
     return views;
--- a/Source/Dispatch/endpointstates.h
+++ b/Source/Dispatch/endpointstates.h
@@ -7,9 +7,9 @@
 #pragma once
 
 #include "Base/time.h"
+#include "Dispatch/cooldowns.h"
 #include "Dispatch/health.h"
 #include "Dispatch/placement.h"
-#include "Dispatch/rests.h"
 #include "Dispatch/window.h"
 #include "Rate/pace.h"
 
@@ -31,10 +31,10 @@
     std::uint32_t window = 0;
     HealthState health = HealthState::Healthy;
     bool drained = false;
-    bool saysItLeaves = false;
-    bool rests = false; ///< for all homes
+    bool announcedLeaving = false;
+    bool coolingDown = false; ///< for all homes
     double firstTokenMs = 0;
-    double paceMs = 0;
+    double interTokenLatencyMs = 0;
     std::optional<double> ratePerSecond; ///< that it says it takes from all hosts together, if it limits that
 };
 
@@ -48,44 +48,44 @@
     double movedTokensPerMs = 0;
     bool drained = false;
     bool leaving = false;
-    bool gone = false; ///< another endpoint answers at its address; its name does not come back
-    Base::Instant leavesUntil {}; ///< as its answers say
-    bool saysItLeaves = false;
-    Rate::Pace pace;
-    Rests rests;
+    bool replaced = false; ///< another endpoint answers at its address; its name does not come back
+    Base::Instant leavingUntil {}; ///< as its answers say
+    bool announcedLeaving = false;
+    Rate::Pace rateLimiter;
+    Cooldowns cooldowns;
 
     /// Whether it may get work, whatever its health.
     bool isUsable() const;
 
     /// Whether it may get work now, room aside.
-    bool takesWork() const;
+    bool acceptsWork() const;
 
     /// Runs that it may have at once.
     std::uint32_t windowSize() const;
 };
 
 /// Of endpoints that all limit their rate, together.
-struct PooledPace
+struct PooledRate
 {
     std::uint32_t left = 0; ///< runs that may begin now
     double perSecond = 0;
 
     /// Until @p before runs have begun and one more may.
-    Base::Duration waitBehind(std::size_t before) const;
+    Base::Duration waitBehind(std::size_t ahead) const;
 };
 
 /// By number.
 using EndpointStates = std::map<std::uint32_t, EndpointState>;
 
 /// Windows of all that may get work.
-std::size_t windowsOf(const EndpointStates &endpoints);
+std::size_t totalWindow(const EndpointStates &endpoints);
 
-std::size_t runningOn(const EndpointStates &endpoints);
+std::size_t totalRunning(const EndpointStates &endpoints);
 
-std::size_t ejectedOf(const EndpointStates &endpoints);
+std::size_t ejectedCount(const EndpointStates &endpoints);
 
 /// Of those that are healthy; none if fewer than three have one to compare.
-std::optional<Base::Duration> medianPace(const EndpointStates &endpoints);
+std::optional<Base::Duration> medianInterTokenLatency(const EndpointStates &endpoints);
 
 /// Of those that are healthy; none if no run has told it yet.
 std::optional<Base::Duration> medianFirstToken(const EndpointStates &endpoints);
@@ -95,16 +95,16 @@
 
 /// All that take work, with all their slots free to choose; those whose rate is used up, or that rest, only if there are no
 /// others.
-std::vector<Candidate> usableOf(const EndpointStates &endpoints, Base::Instant now);
+std::vector<Candidate> usableCandidates(const EndpointStates &endpoints, Base::Instant now);
 
 /// Whether each that takes work rests for some home.
-bool allRest(const EndpointStates &endpoints, Base::Instant now);
+bool allHaveCooldowns(const EndpointStates &endpoints, Base::Instant now);
 
 /// How long all that take work rest for @p home; zero if one does not.
-Base::Duration restOf(const EndpointStates &endpoints, Base::Instant now, std::uint64_t home);
+Base::Duration remainingCooldown(const EndpointStates &endpoints, Base::Instant now, std::uint64_t home);
 
 /// Nothing if some endpoint that takes work does not limit its rate.
-std::optional<PooledPace> pooledPace(const EndpointStates &endpoints, Base::Instant now);
+std::optional<PooledRate> pooledRate(const EndpointStates &endpoints, Base::Instant now);
 
 std::vector<EndpointView> viewsOf(const EndpointStates &endpoints);
 
--- a/Source/Dispatch/health.cpp
+++ b/Source/Dispatch/health.cpp
@@ -9,26 +9,26 @@
 
 namespace {
 
-constexpr double newShare = 0.3; ///< weight of the latest run in the means
+constexpr double latestWeight = 0.3; ///< weight of the latest run in the means
 constexpr double slowFactor = 2.5; ///< times the peers' pace
-constexpr std::uint32_t leastRuns = 2; ///< before the pace is judged
-constexpr std::uint32_t mostFailures = 2; ///< in a row
+constexpr std::uint32_t minRuns = 2; ///< before the pace is judged
+constexpr std::uint32_t maxConsecutiveFailures = 2; ///< in a row
 /// In a row: one request in seven answered an error would come to it once in a hundred thousand times.
-constexpr std::uint32_t mostErrors = 6;
+constexpr std::uint32_t maxConsecutiveErrors = 6;
 constexpr std::uint32_t probesToPass = 2;
 /// Weight of the latest run in the share of errors, and runs before the share is judged: at a seventh, which some applications
 /// answer to all alike, the share strays by 0.08, so that a third apart is seldom chance.
-constexpr double newShareOfErrors = 0.1;
-constexpr std::uint32_t leastAnswers = 6;
+constexpr double latestErrorWeight = 0.1;
+constexpr std::uint32_t minResponses = 6;
 /// Where a sixth of the engines answered errors to half of their requests, this brought the errors answered from 1,138 to 906 and
 /// the worth of a day of high load from 0.55 to 0.58 (single plays of the large deployment, which differ by 0.03).
-constexpr double errorsBeyondPeers = 0.25;
-constexpr Base::Duration firstEjection = std::chrono::seconds(1);
+constexpr double errorShareMargin = 0.25;
+constexpr Base::Duration initialEjection = std::chrono::seconds(1);
 
-double mixed(double mean, Base::Duration latest, bool first)
+double movingAverage(double mean, Base::Duration latest, bool first)
 {
     const auto value = static_cast<double>(latest.count());
-    return first ? value : mean + newShare * (value - mean);
+    return first ? value : mean + latestWeight * (value - mean);
 }
 
 } // namespace
@@ -36,24 +36,24 @@
 void Health::observe(const Observation &observation)
 {
     if (!observation.failed) {
-        const double error = observation.answeredError ? 1.0 : 0.0;
-        ++m_answers;
+        const double error = observation.errorResponse ? 1.0 : 0.0;
+        ++m_responses;
         // The first ones count alike: a share that began at nothing would be late to tell.
-        m_errorShare += std::max(newShareOfErrors, 1.0 / m_answers) * (error - m_errorShare);
+        m_errorShare += std::max(latestErrorWeight, 1.0 / m_responses) * (error - m_errorShare);
     }
-    if (observation.answeredError) {
-        ++m_errors;
+    if (observation.errorResponse) {
+        ++m_consecutiveErrors;
         return;
     }
-    m_errors = 0;
+    m_consecutiveErrors = 0;
     if (observation.failed) {
-        ++m_failures;
+        ++m_consecutiveFailures;
         m_probesPassed = 0;
         return;
     }
-    m_failures = 0;
-    m_gapMicroseconds = mixed(m_gapMicroseconds, observation.gap, m_runs == 0);
-    m_firstTokenMicroseconds = mixed(m_firstTokenMicroseconds, observation.firstToken, m_runs == 0);
+    m_consecutiveFailures = 0;
+    m_gapMicroseconds = movingAverage(m_gapMicroseconds, observation.gap, m_runs == 0);
+    m_firstTokenMicroseconds = movingAverage(m_firstTokenMicroseconds, observation.firstToken, m_runs == 0);
     ++m_runs;
     if (m_state == HealthState::Probing && ++m_probesPassed >= probesToPass) {
         m_state = HealthState::Healthy;
@@ -68,23 +68,23 @@
 
 void Health::tick(Base::Instant now)
 {
-    if (m_state == HealthState::Ejected && now >= m_until) {
+    if (m_state == HealthState::Ejected && now >= m_ejectedUntil) {
         m_state = HealthState::Probing;
         m_probesPassed = 0;
-        m_failures = 0;
-        m_errors = 0;
+        m_consecutiveFailures = 0;
+        m_consecutiveErrors = 0;
         // What was seen before the ejection says nothing about now.
         m_runs = 0;
-        m_answers = 0;
+        m_responses = 0;
         m_errorShare = 0;
     }
 }
 
 void Health::eject(Base::Instant now, Base::Duration longest)
 {
-    m_ejection = m_ejection == Base::Duration::zero() ? firstEjection : std::min(m_ejection * 2, longest);
+    m_ejection = m_ejection == Base::Duration::zero() ? initialEjection : std::min(m_ejection * 2, longest);
     m_state = HealthState::Ejected;
-    m_until = now + m_ejection;
+    m_ejectedUntil = now + m_ejection;
 }
 
 HealthState Health::state() const
@@ -92,7 +92,7 @@
     return m_state;
 }
 
-std::optional<Base::Duration> Health::pace() const
+std::optional<Base::Duration> Health::interTokenLatency() const
 {
     if (m_runs == 0) {
         return std::nullopt;
@@ -108,29 +108,30 @@
 
 std::uint32_t Health::failures() const
 {
-    return m_failures;
+    return m_consecutiveFailures;
 }
 
 bool Health::isFailing() const
 {
-    return m_failures >= mostFailures || m_errors >= mostErrors || (m_state == HealthState::Probing && m_failures > 0);
+    return m_consecutiveFailures >= maxConsecutiveFailures || m_consecutiveErrors >= maxConsecutiveErrors
+        || (m_state == HealthState::Probing && m_consecutiveFailures > 0);
 }
 
 std::optional<double> Health::errorShare() const
 {
-    return m_answers < leastAnswers ? std::nullopt : std::optional(m_errorShare);
+    return m_responses < minResponses ? std::nullopt : std::optional(m_errorShare);
 }
 
-bool Health::isErring(std::optional<double> peers) const
+bool Health::hasHighErrorShare(std::optional<double> peers) const
 {
     const auto own = errorShare();
-    return peers && own && *own > *peers + errorsBeyondPeers;
+    return peers && own && *own > *peers + errorShareMargin;
 }
 
 bool Health::isSlow(std::optional<Base::Duration> peers) const
 {
-    const auto own = pace();
-    return peers && own && m_runs >= leastRuns && *own > *peers * slowFactor;
+    const auto own = interTokenLatency();
+    return peers && own && m_runs >= minRuns && *own > *peers * slowFactor;
 }
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/health.h
+++ b/Source/Dispatch/health.h
@@ -43,7 +43,7 @@
     HealthState state() const;
 
     /// Mean of recent gaps between tokens, or of first-token times where no gaps were seen; nothing before the first run.
-    std::optional<Base::Duration> pace() const;
+    std::optional<Base::Duration> interTokenLatency() const;
 
     /// Mean of recent first-token times; nothing before the first run.
     std::optional<Base::Duration> firstToken() const;
@@ -58,7 +58,7 @@
     std::optional<double> errorShare() const;
 
     /// Whether it answers far more errors than @p peers' share.
-    bool isErring(std::optional<double> peers) const;
+    bool hasHighErrorShare(std::optional<double> peers) const;
 
     /// Whether it is much slower than @p peers' pace.
     bool isSlow(std::optional<Base::Duration> peers) const;
@@ -68,13 +68,13 @@
     double m_gapMicroseconds = 0;
     double m_firstTokenMicroseconds = 0;
     std::uint32_t m_runs = 0;
-    std::uint32_t m_failures = 0;
-    std::uint32_t m_errors = 0; ///< answered in a row
+    std::uint32_t m_consecutiveFailures = 0;
+    std::uint32_t m_consecutiveErrors = 0; ///< answered in a row
     double m_errorShare = 0;
-    std::uint32_t m_answers = 0; ///< runs that m_errorShare tells of
+    std::uint32_t m_responses = 0; ///< runs that m_errorShare tells of
     std::uint32_t m_probesPassed = 0;
     Base::Duration m_ejection {};
-    Base::Instant m_until {};
+    Base::Instant m_ejectedUntil {};
 };
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/laterefusals.cpp
+++ b/Source/Dispatch/laterefusals.cpp
@@ -8,19 +8,19 @@
 namespace {
 
 /// Of the asks of a tier above the lowest, this share may be refused as too late, and so many at once.
-constexpr double share = 0.07;
-constexpr double mostSaved = 4.0;
+constexpr double refusableShare = 0.07;
+constexpr double maxSavedRefusals = 4.0;
 
 } // namespace
 
 Base::TokenBucket &LateRefusals::bucketOf(int rank)
 {
-    return m_buckets.try_emplace(rank, 0.0, mostSaved).first->second;
+    return m_buckets.try_emplace(rank, 0.0, maxSavedRefusals).first->second;
 }
 
 void LateRefusals::earn(int rank)
 {
-    bucketOf(rank).earn(share);
+    bucketOf(rank).earn(refusableShare);
 }
 
 bool LateRefusals::spend(int rank, int lowestRank)
--- a/Source/Dispatch/order.cpp
+++ b/Source/Dispatch/order.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr double promptTokensPerUnit = 512.0;
-constexpr std::size_t organisationsLookedAt = 16;
+constexpr std::size_t maxOrganisationsChecked = 16;
 
 /// What serving an ask costs its organisation's share: one unit, and more for a long prompt.
 double cost(const QueuedAsk &ask)
@@ -23,9 +23,9 @@
 }
 
 /// The oldest arrival whose target can still be met if a run began now.
-Base::Instant oldestOnTime(const ClassTerms &terms, Base::Instant now, Base::Duration expected)
+Base::Instant oldestOnTime(const ClassParameters &parameters, Base::Instant now, Base::Duration expected)
 {
-    return now + expected - terms.firstToken;
+    return now + expected - parameters.firstToken;
 }
 
 } // namespace
@@ -68,9 +68,9 @@
     return remove(key);
 }
 
-AskKey FifoOrder::victim(const QueuedAsk &newcomer) const
+AskKey FifoOrder::evictionCandidate(const QueuedAsk &newAsk) const
 {
-    return newcomer.key;
+    return newAsk.key;
 }
 
 const QueuedAsk *FifoOrder::find(AskKey key) const
@@ -118,10 +118,10 @@
 {
     remove(ask.key);
     m_asks.emplace(ask.key, ask);
-    Tier &tier = m_tiers[ask.terms.rank];
+    Tier &tier = m_tiers[ask.parameters.rank];
     tier.byDeadline.emplace(ask.deadline, ask.key);
-    ClassQueue &queue = tier.classes[ask.terms.number];
-    queue.terms = ask.terms;
+    ClassQueue &queue = tier.classes[ask.parameters.number];
+    queue.parameters = ask.parameters;
     queue.byArrival.emplace(ask.arrival, ask.key);
     OrganisationQueue &organisation = queue.organisations[ask.ask.organisation];
     organisation.weight = ask.weight;
@@ -141,9 +141,9 @@
     }
     QueuedAsk ask = std::move(entry->second);
     m_asks.erase(entry);
-    Tier &tier = m_tiers.at(ask.terms.rank);
+    Tier &tier = m_tiers.at(ask.parameters.rank);
     tier.byDeadline.erase({ask.deadline, key});
-    ClassQueue &queue = tier.classes.at(ask.terms.number);
+    ClassQueue &queue = tier.classes.at(ask.parameters.number);
     queue.byArrival.erase({ask.arrival, key});
     OrganisationQueue &organisation = queue.organisations.at(ask.ask.organisation);
     organisation.byArrival.erase({ask.arrival, key});
@@ -163,7 +163,7 @@
                 continue;
             }
             const double waited
-                = Base::seconds(now - queue.byArrival.begin()->first) / Base::seconds(queue.terms.starvationBound);
+                = Base::seconds(now - queue.byArrival.begin()->first) / Base::seconds(queue.parameters.starvationBound);
             if (waited >= longest) {
                 longest = waited;
                 found = &queue;
@@ -181,12 +181,12 @@
         if (queue.byArrival.empty()) {
             continue;
         }
-        auto first = queue.byArrival.lower_bound({oldestOnTime(queue.terms, now, expected), AskKey {}});
+        auto first = queue.byArrival.lower_bound({oldestOnTime(queue.parameters, now, expected), AskKey {}});
         const bool late = first == queue.byArrival.end();
         if (late) {
             first = queue.byArrival.begin();
         }
-        const std::pair<bool, Base::Instant> rank {late, first->first + queue.terms.firstToken};
+        const std::pair<bool, Base::Instant> rank {late, first->first + queue.parameters.firstToken};
         if (best == nullptr || rank < bestRank) {
             best = &queue;
             bestRank = rank;
@@ -195,10 +195,10 @@
     return best;
 }
 
-AskKey TieredOrder::fairest(const ClassQueue &queue, Base::Instant now, Base::Duration expected)
+AskKey TieredOrder::nextByFairness(const ClassQueue &queue, Base::Instant now, Base::Duration expected)
 {
-    const Base::Instant bound = oldestOnTime(queue.terms, now, expected);
-    for (const auto &[virtualTime, number] : queue.active | std::views::take(organisationsLookedAt)) {
+    const Base::Instant bound = oldestOnTime(queue.parameters, now, expected);
+    for (const auto &[virtualTime, number] : queue.active | std::views::take(maxOrganisationsChecked)) {
         const ByTime &asks = queue.organisations.at(number).byArrival;
         const auto onTime = asks.lower_bound({bound, AskKey {}});
         if (onTime != asks.end()) {
@@ -210,20 +210,20 @@
 
 std::optional<AskKey> TieredOrder::next(Base::Instant now, Base::Duration expected)
 {
-    m_overdueServed = false;
+    m_nextIsOverdue = false;
     if (m_asks.empty()) {
         return std::nullopt;
     }
     const ClassQueue *overdue = overdueClass(now);
-    if (overdue != nullptr && m_credit >= 1.0) {
-        m_overdueServed = true;
+    if (overdue != nullptr && m_overdueCredit >= 1.0) {
+        m_nextIsOverdue = true;
         return overdue->byArrival.begin()->second;
     }
     if (overdue == nullptr) {
-        m_credit = 0;
+        m_overdueCredit = 0;
     }
     const auto tier = std::ranges::find_if(m_tiers, [](const auto &entry) { return !entry.second.byDeadline.empty(); });
-    return fairest(*leastSlack(tier->second, now, expected), now, expected);
+    return nextByFairness(*leastSlack(tier->second, now, expected), now, expected);
 }
 
 std::optional<QueuedAsk> TieredOrder::serve(AskKey key)
@@ -232,12 +232,12 @@
     if (!ask) {
         return std::nullopt;
     }
-    m_credit = std::min(m_credit + m_guaranteedShare, 1.0);
-    if (m_overdueServed) {
-        m_credit = 0;
-        m_overdueServed = false;
+    m_overdueCredit = std::min(m_overdueCredit + m_guaranteedShare, 1.0);
+    if (m_nextIsOverdue) {
+        m_overdueCredit = 0;
+        m_nextIsOverdue = false;
     }
-    charge(m_tiers.at(ask->terms.rank).classes.at(ask->terms.number), *ask);
+    charge(m_tiers.at(ask->parameters.rank).classes.at(ask->parameters.number), *ask);
     return ask;
 }
 
@@ -255,16 +255,16 @@
     }
 }
 
-AskKey TieredOrder::victim(const QueuedAsk &newcomer) const
+AskKey TieredOrder::evictionCandidate(const QueuedAsk &newAsk) const
 {
     const auto lowest
         = std::find_if(m_tiers.rbegin(), m_tiers.rend(), [](const auto &entry) { return !entry.second.byDeadline.empty(); });
-    if (lowest == m_tiers.rend() || newcomer.terms.rank > lowest->first) {
-        return newcomer.key;
+    if (lowest == m_tiers.rend() || newAsk.parameters.rank > lowest->first) {
+        return newAsk.key;
     }
     const auto &[deadline, key] = *lowest->second.byDeadline.begin();
-    const bool sameTier = newcomer.terms.rank == lowest->first;
-    return sameTier && newcomer.deadline < deadline ? newcomer.key : key;
+    const bool sameTier = newAsk.parameters.rank == lowest->first;
+    return sameTier && newAsk.deadline < deadline ? newAsk.key : key;
 }
 
 const QueuedAsk *TieredOrder::find(AskKey key) const
--- a/Source/Dispatch/order.h
+++ b/Source/Dispatch/order.h
@@ -33,7 +33,7 @@
               order.serve(key)
           } -> std::same_as<std::optional<QueuedAsk>>;
           {
-              constant.victim(ask)
+              constant.evictionCandidate(ask)
           } -> std::same_as<AskKey>;
           {
               constant.find(key)
@@ -65,7 +65,7 @@
     std::optional<QueuedAsk> remove(AskKey key);
     std::optional<AskKey> next(Base::Instant now, Base::Duration expected) const;
     std::optional<QueuedAsk> serve(AskKey key);
-    AskKey victim(const QueuedAsk &newcomer) const;
+    AskKey evictionCandidate(const QueuedAsk &newAsk) const;
     const QueuedAsk *find(AskKey key) const;
     std::size_t size() const;
     std::size_t aheadOf(int rank) const;
@@ -97,7 +97,7 @@
     std::optional<QueuedAsk> serve(AskKey key);
 
     /// Of all asks and @p newcomer, the one to give up: of the lowest tier there is, the one whose deadline is nearest.
-    AskKey victim(const QueuedAsk &newcomer) const;
+    AskKey evictionCandidate(const QueuedAsk &newAsk) const;
 
     const QueuedAsk *find(AskKey key) const;
     std::size_t size() const;
@@ -120,7 +120,7 @@
 
     struct ClassQueue
     {
-        ClassTerms terms;
+        ClassParameters parameters;
         std::map<std::uint32_t, OrganisationQueue> organisations;
         std::set<std::pair<double, std::uint32_t>> active; ///< organisations with asks, by virtual time
         ByTime byArrival;
@@ -135,12 +135,12 @@
 
     const ClassQueue *overdueClass(Base::Instant now) const;
     static const ClassQueue *leastSlack(const Tier &tier, Base::Instant now, Base::Duration expected);
-    static AskKey fairest(const ClassQueue &queue, Base::Instant now, Base::Duration expected);
+    static AskKey nextByFairness(const ClassQueue &queue, Base::Instant now, Base::Duration expected);
     static void charge(ClassQueue &queue, const QueuedAsk &ask);
 
     double m_guaranteedShare;
-    double m_credit = 0;
-    bool m_overdueServed = false;
+    double m_overdueCredit = 0;
+    bool m_nextIsOverdue = false;
     std::unordered_map<AskKey, QueuedAsk, AskKeyHash> m_asks;
     std::map<int, Tier> m_tiers;
 };
--- a/Source/Dispatch/placement.cpp
+++ b/Source/Dispatch/placement.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t mostPrefixes = 20'000;
+constexpr std::size_t maxPrefixes = 20'000;
 constexpr std::size_t holdersPerPrefix = 3;
 /// Part of its window by which a holder of the prefix may be fuller than the least loaded endpoint.
 constexpr double loadSlack = 0.35;
@@ -29,7 +29,7 @@
     return next == candidates.end() ? candidates.front().endpoint : next->endpoint;
 }
 
-PlacedRun RoundRobin::placed(const QueuedAsk &, const Candidate &candidate, Base::Instant)
+PlacedRun RoundRobin::recordPlacement(const QueuedAsk &, const Candidate &candidate, Base::Instant)
 {
     m_last = candidate.endpoint;
     return {.endpoint = candidate.endpoint};
@@ -40,13 +40,13 @@
     return leastLoaded(candidates).endpoint;
 }
 
-PlacedRun LeastLoaded::placed(const QueuedAsk &, const Candidate &candidate, Base::Instant)
+PlacedRun LeastLoaded::recordPlacement(const QueuedAsk &, const Candidate &candidate, Base::Instant)
 {
     return {.endpoint = candidate.endpoint};
 }
 
 std::optional<std::uint32_t> PrefixAffinity::holder(const QueuedAsk &ask, std::span<const Candidate> candidates,
-                                                    double mostLoad) const
+                                                    double maxLoad) const
 {
     // The last hash stands for the longest beginning.
     for (const std::uint64_t prefix : ask.ask.prefix | std::views::reverse) {
@@ -56,7 +56,7 @@
         }
         for (const std::uint32_t endpoint : holders->second) {
             const auto candidate = std::ranges::find(candidates, endpoint, &Candidate::endpoint);
-            if (candidate != candidates.end() && loadOf(*candidate) <= mostLoad) {
+            if (candidate != candidates.end() && loadOf(*candidate) <= maxLoad) {
                 return endpoint;
             }
         }
@@ -71,7 +71,7 @@
     return holder(ask, candidates, loadOf(least) + loadSlack).value_or(least.endpoint);
 }
 
-PlacedRun PrefixAffinity::placed(const QueuedAsk &ask, const Candidate &candidate, Base::Instant)
+PlacedRun PrefixAffinity::recordPlacement(const QueuedAsk &ask, const Candidate &candidate, Base::Instant)
 {
     const std::uint32_t endpoint = candidate.endpoint;
     for (const std::uint64_t prefix : ask.ask.prefix) {
@@ -86,19 +86,19 @@
             holders.pop_back();
         }
     }
-    while (m_byAge.size() > mostPrefixes) {
+    while (m_byAge.size() > maxPrefixes) {
         m_holders.erase(m_byAge.front());
         m_byAge.pop_front();
     }
     return {.endpoint = endpoint};
 }
 
-void PrefixAffinity::forget(std::uint32_t endpoint)
+void PrefixAffinity::removeEndpoint(std::uint32_t endpoint)
 {
-    distrust(endpoint);
+    markUnreliable(endpoint);
 }
 
-void PrefixAffinity::distrust(std::uint32_t endpoint)
+void PrefixAffinity::markUnreliable(std::uint32_t endpoint)
 {
     for (Holders &holders : m_holders | std::views::values) {
         std::erase(holders, endpoint);
--- a/Source/Dispatch/placement.h
+++ b/Source/Dispatch/placement.h
@@ -6,8 +6,8 @@
 
 #pragma once
 
+#include "Dispatch/prefillpauses.h"
 #include "Dispatch/queuedask.h"
-#include "Dispatch/readingpauses.h"
 
 #include <absl/container/flat_hash_map.h>
 
@@ -41,23 +41,23 @@
 struct PlacedRun
 {
     std::uint32_t endpoint = 0;
-    std::uint64_t tokens = 0; ///< of memory that the run may come to need
-    std::uint32_t unread = 0; ///< of its prompt, that the endpoint had to read
+    std::uint64_t kvTokens = 0; ///< of memory that the run may come to need
+    std::uint32_t prefillTokens = 0; ///< of its prompt, that the endpoint had to read
     int rank = 0; ///< with which the endpoint reads it
-    Base::Duration reading {}; ///< time that the endpoint needs for it, beside the tokens of others
-    Base::Duration expected {}; ///< to the first token
-    bool alone = false; ///< the endpoint had no other prompt to read
+    Base::Duration prefillTime {}; ///< time that the endpoint needs for it, beside the tokens of others
+    Base::Duration expectedFirstToken {}; ///< to the first token
+    bool wasOnlyPrefill = false; ///< the endpoint had no other prompt to read
     std::uint32_t keeper = 0; ///< endpoint from which it takes what is kept of the prompt, 0 for none
-    std::uint32_t trust = 0; ///< the endpoint's when the run was placed
+    std::uint32_t reliabilityEpoch = 0; ///< the endpoint's when the run was placed
     Base::Duration allowedPause {}; ///< between its events
     Base::Instant placedAt {};
 };
 
 /// What a run's home saw of its tokens; zero where there were none.
-struct SeenTokens
+struct ObservedTokens
 {
     Base::Duration first {}; ///< after the run's start
-    SeenPauses pauses;
+    ObservedPauses pauses;
 };
 
 /// The endpoint with least to read before a prompt of some rank.
@@ -70,14 +70,14 @@
 template<typename T>
 concept PlacementPolicy = requires(T placement, const T &constant, const QueuedAsk &ask, std::span<const Candidate> candidates,
                                    std::uint32_t endpoint, const Candidate &candidate, Base::Instant now, const PlacedRun &run,
-                                   const SeenTokens &seen, const LeastBacklog &least) {
+                                   const ObservedTokens &seen, const LeastBacklog &least) {
     /// The endpoint to use now; nothing if waiting is better. @p candidates is never empty.
     {
         constant.choose(ask, candidates, now)
     } -> std::same_as<std::optional<std::uint32_t>>;
     /// How long until the first token if the best of @p candidates were used now, as far as the policy can tell.
     {
-        constant.expected(ask, candidates, now)
+        constant.expectedFirstToken(ask, candidates, now)
     } -> std::same_as<Base::Duration>;
     /// Of @p candidates for prompts of one rank.
     {
@@ -85,27 +85,27 @@
     } -> std::same_as<LeastBacklog>;
     /// No less than expected() for the candidates that @p least was found among; costs the same for any number of them.
     {
-        constant.expectedAtMost(ask, least)
+        constant.maxExpectedFirstToken(ask, least)
     } -> std::same_as<Base::Duration>;
     /// How long one endpoint is kept from other prompts by @p ask.
     {
-        constant.work(ask)
+        constant.prefillTime(ask)
     } -> std::same_as<Base::Duration>;
     {
-        placement.placed(ask, candidate, now)
+        placement.recordPlacement(ask, candidate, now)
     } -> std::same_as<PlacedRun>;
-    placement.ended(run, seen);
+    placement.recordEnd(run, seen);
     /// The endpoint fails or leaves: others can no longer rely on what it keeps.
-    placement.distrust(endpoint);
+    placement.markUnreliable(endpoint);
     /// The endpoint is gone for good.
-    placement.forget(endpoint);
+    placement.removeEndpoint(endpoint);
 };
 
 /// What policies without a model of engines have in common.
-class WithoutModel
+class ModelFreePlacement
 {
 public:
-    Base::Duration expected(const QueuedAsk &, std::span<const Candidate>, Base::Instant) const
+    Base::Duration expectedFirstToken(const QueuedAsk &, std::span<const Candidate>, Base::Instant) const
     {
         return {};
     }
@@ -113,58 +113,58 @@
     {
         return {};
     }
-    Base::Duration expectedAtMost(const QueuedAsk &, const LeastBacklog &) const
+    Base::Duration maxExpectedFirstToken(const QueuedAsk &, const LeastBacklog &) const
     {
         return {};
     }
-    Base::Duration work(const QueuedAsk &) const
+    Base::Duration prefillTime(const QueuedAsk &) const
     {
         return {};
     }
-    void ended(const PlacedRun &, const SeenTokens &)
+    void recordEnd(const PlacedRun &, const ObservedTokens &)
     {
     }
-    void distrust(std::uint32_t)
+    void markUnreliable(std::uint32_t)
     {
     }
-    void forget(std::uint32_t)
+    void removeEndpoint(std::uint32_t)
     {
     }
 };
 
 /// Baseline: each in turn.
-class RoundRobin : public WithoutModel
+class RoundRobin : public ModelFreePlacement
 {
 public:
     std::optional<std::uint32_t> choose(const QueuedAsk &ask, std::span<const Candidate> candidates, Base::Instant now) const;
-    PlacedRun placed(const QueuedAsk &ask, const Candidate &candidate, Base::Instant now);
+    PlacedRun recordPlacement(const QueuedAsk &ask, const Candidate &candidate, Base::Instant now);
 
 private:
     std::uint32_t m_last = 0;
 };
 
 /// Baseline: the one with the smallest share of its window in use.
-class LeastLoaded : public WithoutModel
+class LeastLoaded : public ModelFreePlacement
 {
 public:
     std::optional<std::uint32_t> choose(const QueuedAsk &ask, std::span<const Candidate> candidates, Base::Instant now) const;
-    PlacedRun placed(const QueuedAsk &ask, const Candidate &candidate, Base::Instant now);
+    PlacedRun recordPlacement(const QueuedAsk &ask, const Candidate &candidate, Base::Instant now);
 };
 
 /// The one that ran the longest known beginning of the prompt, unless its load is too far above the least loaded one's.
-class PrefixAffinity : public WithoutModel
+class PrefixAffinity : public ModelFreePlacement
 {
 public:
     std::optional<std::uint32_t> choose(const QueuedAsk &ask, std::span<const Candidate> candidates, Base::Instant now) const;
-    PlacedRun placed(const QueuedAsk &ask, const Candidate &candidate, Base::Instant now);
-    void distrust(std::uint32_t endpoint);
-    void forget(std::uint32_t endpoint);
+    PlacedRun recordPlacement(const QueuedAsk &ask, const Candidate &candidate, Base::Instant now);
+    void markUnreliable(std::uint32_t endpoint);
+    void removeEndpoint(std::uint32_t endpoint);
 
 private:
     /// The endpoints that ran a prefix last, the latest first.
     using Holders = std::vector<std::uint32_t>;
 
-    std::optional<std::uint32_t> holder(const QueuedAsk &ask, std::span<const Candidate> candidates, double mostLoad) const;
+    std::optional<std::uint32_t> holder(const QueuedAsk &ask, std::span<const Candidate> candidates, double maxLoad) const;
 
     absl::flat_hash_map<std::uint64_t, Holders> m_holders;
     std::deque<std::uint64_t> m_byAge;
--- a/Source/Dispatch/poolterms.cpp
+++ b/Source/Dispatch/poolparameters.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-3-Clause
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
-#include "Dispatch/poolterms.h"
+#include "Dispatch/poolparameters.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,13 +11,13 @@
 using Base::Duration;
 using Configuration::RequestClass;
 
-PoolTerms::PoolTerms(std::shared_ptr<const Configuration::Catalogue> catalogue, std::uint32_t pool)
+PoolParameters::PoolParameters(std::shared_ptr<const Configuration::Catalogue> catalogue, std::uint32_t pool)
     : m_catalogue(std::move(catalogue))
     , m_pool(pool)
 {
 }
 
-std::vector<const RequestClass *> PoolTerms::classes() const
+std::vector<const RequestClass *> PoolParameters::classes() const
 {
     std::vector<const RequestClass *> found;
     for (const RequestClass &requestClass : m_catalogue->classes()) {
@@ -28,7 +28,7 @@
     return found;
 }
 
-Duration PoolTerms::tightestAbove(int rank) const
+Duration PoolParameters::tightestAbove(int rank) const
 {
     Duration tightest = Duration::max();
     for (const RequestClass *requestClass : classes()) {
@@ -37,19 +37,19 @@
     return tightest == Duration::max() ? Duration::zero() : tightest;
 }
 
-ClassTerms PoolTerms::of(const RequestClass &requestClass) const
+ClassParameters PoolParameters::forClass(const RequestClass &requestClass) const
 {
-    return of(requestClass, requestClass.rank);
+    return forClass(requestClass, requestClass.rank);
 }
 
-ClassTerms PoolTerms::of(const RequestClass &requestClass, int rank) const
+ClassParameters PoolParameters::forClass(const RequestClass &requestClass, int rank) const
 {
     const int effective = rank == 0 ? requestClass.rank : rank;
     return {requestClass.number,     effective, requestClass.firstToken, requestClass.tokenGap, requestClass.starvationBound,
             tightestAbove(effective)};
 }
 
-int PoolTerms::lowestRank() const
+int PoolParameters::lowestRank() const
 {
     int lowest = 0;
     for (const RequestClass *requestClass : classes()) {
@@ -58,7 +58,7 @@
     return lowest;
 }
 
-Duration PoolTerms::tightestFirstToken() const
+Duration PoolParameters::tightestFirstToken() const
 {
     Duration tightest = Duration::max();
     for (const RequestClass *requestClass : classes()) {
--- a/Source/Dispatch/poolterms.h
+++ b/Source/Dispatch/poolparameters.h
@@ -16,15 +16,15 @@
 
 namespace Yokepond::Dispatch {
 
-class PoolTerms
+class PoolParameters
 {
 public:
-    PoolTerms(std::shared_ptr<const Configuration::Catalogue> catalogue, std::uint32_t pool);
+    PoolParameters(std::shared_ptr<const Configuration::Catalogue> catalogue, std::uint32_t pool);
 
-    ClassTerms of(const Configuration::RequestClass &requestClass) const;
+    ClassParameters forClass(const Configuration::RequestClass &requestClass) const;
 
     /// The same for an ask whose rank is @p rank; 0: that of its class.
-    ClassTerms of(const Configuration::RequestClass &requestClass, int rank) const;
+    ClassParameters forClass(const Configuration::RequestClass &requestClass, int rank) const;
 
     /// The rank of the pool's least urgent class; 0 if it has none.
     int lowestRank() const;
--- a/Source/Dispatch/preference.cpp
+++ b/Source/Dispatch/preference.cpp
@@ -7,7 +7,7 @@
 
 namespace Yokepond::Dispatch {
 
-std::uint64_t sharedBeginning(std::span<const std::uint64_t> prefix)
+std::uint64_t sharedPrefix(std::span<const std::uint64_t> prefix)
 {
     if (prefix.empty()) {
         return 0;
@@ -15,7 +15,7 @@
     return prefix.size() > 1 ? prefix[prefix.size() - 2] : prefix.front();
 }
 
-std::uint64_t preferenceWeight(std::uint32_t endpoint, std::uint64_t shared)
+std::uint64_t rendezvousWeight(std::uint32_t endpoint, std::uint64_t shared)
 {
     return Base::mixed(shared, endpoint);
 }
--- a/Source/Dispatch/preference.h
+++ b/Source/Dispatch/preference.h
@@ -14,9 +14,9 @@
 
 /// The longest beginning of a prompt that other prompts share: all but the last part, which is the request's own. 0 if the
 /// prompt has no parts.
-std::uint64_t sharedBeginning(std::span<const std::uint64_t> prefix);
+std::uint64_t sharedPrefix(std::span<const std::uint64_t> prefix);
 
 /// The endpoint with the highest weight is preferred for prompts that begin with @p shared.
-std::uint64_t preferenceWeight(std::uint32_t endpoint, std::uint64_t shared);
+std::uint64_t rendezvousWeight(std::uint32_t endpoint, std::uint64_t shared);
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/readingpauses.cpp
+++ b/Source/Dispatch/prefillpauses.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-3-Clause
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
-#include "Dispatch/readingpauses.h"
+#include "Dispatch/prefillpauses.h"
 
 #include <algorithm>
 #include <ranges>
@@ -19,27 +19,27 @@
 /// An engine is taken to read on as it did for so long, so that those with long reads stay apart from tight streams between two
 /// such reads. Where answers take 2.6 s, mean worth was 0.701 with 2 s, 0.707 with 4 s and 0.709 with 8 s (trials of 10, 15 and
 /// 15 days); a memory longer than needed finds no engine without long reads.
-constexpr Duration lately = std::chrono::seconds(4);
+constexpr Duration recentPeriod = std::chrono::seconds(4);
 /// Longer ago than any run that is still under way began.
-constexpr Duration burstsKept = std::chrono::seconds(30);
+constexpr Duration burstRetention = std::chrono::seconds(30);
 /// Of the latest run, in what is learned. The longest pause follows what is longer fifty times faster than what is shorter, so
 /// that it stays near the longest of fifty runs: most do not meet the whole of what the engine reads.
-constexpr double latestShare = 0.1;
-constexpr double latestShareIfShorter = 0.002;
+constexpr double latestWeight = 0.1;
+constexpr double latestWeightIfShorter = 0.002;
 
-Duration mixed(Duration mean, Duration latest, double share)
+Duration movingAverage(Duration mean, Duration latest, double share)
 {
     return mean + std::chrono::duration_cast<Duration>((latest - mean) * share);
 }
 
 } // namespace
 
-void LongestPause::learn(Duration seen)
+void LongestPause::update(Duration seen)
 {
     if (m_value == Duration::zero()) {
         m_value = seen;
     } else {
-        m_value = mixed(m_value, seen, seen > m_value ? latestShare : latestShareIfShorter);
+        m_value = movingAverage(m_value, seen, seen > m_value ? latestWeight : latestWeightIfShorter);
     }
 }
 
@@ -48,36 +48,36 @@
     return m_value;
 }
 
-ReadingPauses::ReadingPauses(std::shared_ptr<LongestPause> ofPool)
-    : m_longestOfPool(std::move(ofPool))
+PrefillPauses::PrefillPauses(std::shared_ptr<LongestPause> poolLongestPause)
+    : m_poolLongestPause(std::move(poolLongestPause))
 {
 }
 
-Duration ReadingPauses::pauseOf(Duration burst) const
+Duration PrefillPauses::expectedPause(Duration burst) const
 {
     const bool known = m_longest.value() > Duration::zero();
-    return std::min(burst + m_usual, known ? m_longest.value() : m_longestOfPool->value());
+    return std::min(burst + m_meanPause, known ? m_longest.value() : m_poolLongestPause->value());
 }
 
-double ReadingPauses::lateShare(Duration burst, Duration allowed) const
+double PrefillPauses::lateProbabilityFor(Duration burst, Duration allowed) const
 {
     if (allowed <= Duration::zero() || burst <= Duration::zero()) {
         return 0;
     }
-    const double pause = Base::milliseconds(pauseOf(burst)) / Base::milliseconds(allowed);
+    const double pause = Base::milliseconds(expectedPause(burst)) / Base::milliseconds(allowed);
     return std::clamp((pause - 1.0 + uncertainty) / (2.0 * uncertainty), 0.0, 1.0);
 }
 
-double ReadingPauses::spoiled(Duration before, Duration after) const
+double PrefillPauses::expectedNewlyLate(Duration before, Duration after) const
 {
     double sum = 0;
     for (const auto &[allowed, streams] : m_streams) {
-        sum += streams.inTime * std::max(0.0, lateShare(after, allowed) - lateShare(before, allowed));
+        sum += streams.onTime * std::max(0.0, lateProbabilityFor(after, allowed) - lateProbabilityFor(before, allowed));
     }
     return sum;
 }
 
-Duration ReadingPauses::longestBurst(Instant since) const
+Duration PrefillPauses::longestBurst(Instant since) const
 {
     Duration longest {};
     for (const Burst &burst : m_bursts) {
@@ -86,59 +86,59 @@
     return longest;
 }
 
-double ReadingPauses::risk(Duration allowed, Instant now) const
+double PrefillPauses::lateProbability(Duration allowed, Instant now) const
 {
-    return lateShare(longestBurst(now - lately), allowed);
+    return lateProbabilityFor(longestBurst(now - recentPeriod), allowed);
 }
 
-void ReadingPauses::read(Instant now, Duration before, Duration after)
+void PrefillPauses::recordPrefill(Instant now, Duration before, Duration after)
 {
     for (auto &[allowed, streams] : m_streams) {
-        streams.inTime *= 1.0 - std::max(0.0, lateShare(after, allowed) - lateShare(before, allowed));
+        streams.onTime *= 1.0 - std::max(0.0, lateProbabilityFor(after, allowed) - lateProbabilityFor(before, allowed));
     }
     while (!m_bursts.empty() && m_bursts.back().length <= after) {
         m_bursts.pop_back();
     }
     m_bursts.push_back({now, after});
-    while (m_bursts.front().at < now - burstsKept) {
+    while (m_bursts.front().at < now - burstRetention) {
         m_bursts.pop_front();
     }
 }
 
-void ReadingPauses::began(Duration allowed)
+void PrefillPauses::addStream(Duration allowed)
 {
     Streams &streams = m_streams[allowed];
     streams.running += 1;
-    streams.inTime += 1;
+    streams.onTime += 1;
 }
 
-void ReadingPauses::ended(Duration allowed, Instant firstToken, const SeenPauses &seen)
+void PrefillPauses::removeStream(Duration allowed, Instant firstToken, const ObservedPauses &seen)
 {
     const auto entry = m_streams.find(allowed);
     if (entry == m_streams.end()) {
         return;
     }
     Streams &streams = entry->second;
-    streams.inTime -= streams.inTime / streams.running;
+    streams.onTime -= streams.onTime / streams.running;
     streams.running -= 1;
     if (streams.running < 1) {
         m_streams.erase(entry);
     }
-    learn(firstToken, seen);
+    updateEstimates(firstToken, seen);
 }
 
-void ReadingPauses::learn(Instant firstToken, const SeenPauses &seen)
+void PrefillPauses::updateEstimates(Instant firstToken, const ObservedPauses &seen)
 {
     if (seen.longest <= Duration::zero()) {
         return;
     }
-    m_usual = m_usual == Duration::zero() ? seen.mean : mixed(m_usual, seen.mean, latestShare);
+    m_meanPause = m_meanPause == Duration::zero() ? seen.mean : movingAverage(m_meanPause, seen.mean, latestWeight);
     // A pause as long as the engine read tells nothing of how long one can get, and a longer one has another cause.
     if (longestBurst(firstToken) < seen.longest) {
         return;
     }
-    m_longest.learn(seen.longest);
-    m_longestOfPool->learn(seen.longest);
+    m_longest.update(seen.longest);
+    m_poolLongestPause->update(seen.longest);
 }
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/readingpauses.h
+++ b/Source/Dispatch/prefillpauses.h
@@ -15,7 +15,7 @@
 namespace Yokepond::Dispatch {
 
 /// The pauses between events that a run's home saw; zero where there were none.
-struct SeenPauses
+struct ObservedPauses
 {
     Base::Duration mean {};
     Base::Duration longest {};
@@ -26,7 +26,7 @@
 {
 public:
     /// Takes in the longest pause of a run beside which the engine read for longer than that.
-    void learn(Base::Duration seen);
+    void update(Base::Duration seen);
 
     /// Zero before any has been seen.
     Base::Duration value() const;
@@ -39,31 +39,31 @@
 ///
 /// While an engine reads for a time B, a stream pauses for no longer than B, and for no longer than its tokens of one event take
 /// when each comes with a piece of a prompt. The second bound is learned from the pauses that ended runs saw.
-class ReadingPauses
+class PrefillPauses
 {
 public:
     /// What @p ofPool has learned counts until this engine has shown pauses of its own.
-    explicit ReadingPauses(std::shared_ptr<LongestPause> ofPool = std::make_shared<LongestPause>());
+    explicit PrefillPauses(std::shared_ptr<LongestPause> poolLongestPause = std::make_shared<LongestPause>());
 
     /// Streams under way, in time so far, that would be late if the engine read for @p after in a row in place of @p before.
-    double spoiled(Base::Duration before, Base::Duration after) const;
+    double expectedNewlyLate(Base::Duration before, Base::Duration after) const;
 
     /// How likely a stream that is allowed pauses of @p allowed would be late, if the engine reads on as it did lately.
-    double risk(Base::Duration allowed, Base::Instant now) const;
+    double lateProbability(Base::Duration allowed, Base::Instant now) const;
 
     /// The engine will read for @p after in a row in place of @p before.
-    void read(Base::Instant now, Base::Duration before, Base::Duration after);
+    void recordPrefill(Base::Instant now, Base::Duration before, Base::Duration after);
 
-    void began(Base::Duration allowed);
+    void addStream(Base::Duration allowed);
 
     /// A run whose first token came at @p firstToken has ended, with the pauses that were seen.
-    void ended(Base::Duration allowed, Base::Instant firstToken, const SeenPauses &seen);
+    void removeStream(Base::Duration allowed, Base::Instant firstToken, const ObservedPauses &seen);
 
 private:
     struct Streams
     {
         double running = 0;
-        double inTime = 0; ///< expected, of those
+        double onTime = 0; ///< expected, of those
     };
 
     struct Burst
@@ -72,17 +72,17 @@
         Base::Duration length {};
     };
 
-    Base::Duration pauseOf(Base::Duration burst) const;
-    double lateShare(Base::Duration burst, Base::Duration allowed) const;
+    Base::Duration expectedPause(Base::Duration burst) const;
+    double lateProbabilityFor(Base::Duration burst, Base::Duration allowed) const;
     /// The longest that the engine read in a row at one time since then.
     Base::Duration longestBurst(Base::Instant since) const;
-    void learn(Base::Instant firstToken, const SeenPauses &seen);
+    void updateEstimates(Base::Instant firstToken, const ObservedPauses &seen);
 
     std::map<Base::Duration, Streams> m_streams; ///< by the pause they are allowed
     std::deque<Burst> m_bursts; ///< oldest first, each longer than all after it
-    Base::Duration m_usual {}; ///< between events
+    Base::Duration m_meanPause {}; ///< between events
     LongestPause m_longest;
-    std::shared_ptr<LongestPause> m_longestOfPool;
+    std::shared_ptr<LongestPause> m_poolLongestPause;
 };
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/promptcache.cpp
+++ b/Source/Dispatch/promptcache.cpp
@@ -7,12 +7,12 @@
 
 namespace Yokepond::Dispatch {
 
-std::uint32_t PromptCache::kept(const PromptChain &chain) const
+std::uint32_t PromptCache::cachedTokens(const PromptChain &chain) const
 {
-    return keptBy(chain, Base::Instant::max());
+    return cachedTokensBy(chain, Base::Instant::max());
 }
 
-std::uint32_t PromptCache::keptBy(const PromptChain &chain, Base::Instant now) const
+std::uint32_t PromptCache::cachedTokensBy(const PromptChain &chain, Base::Instant now) const
 {
     if (chain.prefix.size() != chain.tokens.size()) {
         return 0;
@@ -28,7 +28,7 @@
     return tokens;
 }
 
-void PromptCache::read(const PromptChain &chain, Base::Instant readAt)
+void PromptCache::insert(const PromptChain &chain, Base::Instant readAt)
 {
     if (chain.prefix.size() != chain.tokens.size()) {
         return;
@@ -42,7 +42,7 @@
         if (added) {
             m_byUse.push_front(chain.prefix[index]);
         } else {
-            m_byUse.splice(m_byUse.begin(), m_byUse, entry->second.use);
+            m_byUse.splice(m_byUse.begin(), m_byUse, entry->second.position);
         }
         m_tokens = m_tokens + own - entry->second.tokens;
         entry->second = {own, m_byUse.begin(), added ? readAt : entry->second.readAt};
--- a/Source/Dispatch/promptcache.h
+++ b/Source/Dispatch/promptcache.h
@@ -28,13 +28,13 @@
 {
 public:
     /// Tokens of @p chain's beginning that are kept, or will be when what was sent before has been read.
-    std::uint32_t kept(const PromptChain &chain) const;
+    std::uint32_t cachedTokens(const PromptChain &chain) const;
 
     /// Tokens of @p chain's beginning that have been read by @p now.
-    std::uint32_t keptBy(const PromptChain &chain, Base::Instant now) const;
+    std::uint32_t cachedTokensBy(const PromptChain &chain, Base::Instant now) const;
 
     /// Notes that the whole of @p chain will have been read at @p readAt.
-    void read(const PromptChain &chain, Base::Instant readAt);
+    void insert(const PromptChain &chain, Base::Instant readAt);
 
     /// Forgets the parts used least recently until at most @p tokens are kept.
     void shrink(std::uint64_t tokens);
@@ -43,7 +43,7 @@
     struct Part
     {
         std::uint32_t tokens = 0;
-        std::list<std::uint64_t>::iterator use;
+        std::list<std::uint64_t>::iterator position;
         Base::Instant readAt {}; ///< for the first time
     };
 
--- a/Source/Dispatch/queuedask.h
+++ b/Source/Dispatch/queuedask.h
@@ -34,7 +34,7 @@
 };
 
 /// What of the request's class decides about its order.
-struct ClassTerms
+struct ClassParameters
 {
     std::uint32_t number = 0;
     int rank = 0; ///< of the tier; 1 is the highest
@@ -50,7 +50,7 @@
     AskKey key;
     Home home;
     Peer::Ask ask;
-    ClassTerms terms;
+    ClassParameters parameters;
     std::uint32_t weight = 1; ///< of the organisation
     Base::Instant received {};
     Base::Instant arrival {}; ///< of the caller's request
@@ -59,7 +59,7 @@
     /// When the first token must have come for the target to be met.
     Base::Instant target() const
     {
-        return arrival + terms.firstToken;
+        return arrival + parameters.firstToken;
     }
 };
 
--- a/Source/Dispatch/shard.cpp
+++ b/Source/Dispatch/shard.cpp
@@ -26,34 +26,34 @@
 using Peer::RunResult;
 
 /// On top of the median first-token time, for an ask to count as still on time.
-constexpr double expectedMargin = 1.5;
-constexpr Duration expectedTransit = std::chrono::milliseconds(20);
+constexpr double firstTokenMargin = 1.5;
+constexpr Duration expectedNetworkDelay = std::chrono::milliseconds(20);
 /// How long a grant may wait at its home before the run must have started.
-constexpr Duration startWithin = std::chrono::seconds(2);
+constexpr Duration startTimeout = std::chrono::seconds(2);
 /// After a take-over the homes' reports of running permits are awaited; until then windows count for half.
-constexpr Duration takeOverPeriod = std::chrono::milliseconds(300);
+constexpr Duration takeoverPeriod = std::chrono::milliseconds(300);
 /// Whoever dispatched an endpoint before may grant by its own count until all hosts know of the change, and what it granted is
 /// still to arrive.
 constexpr Duration sharedRatePeriod = std::chrono::seconds(4);
 constexpr Duration ratePeriod = std::chrono::seconds(1);
-constexpr double rateShareOfLatest = 0.4;
-constexpr Duration leastRetryAfter = std::chrono::milliseconds(500);
+constexpr double latestRateWeight = 0.4;
+constexpr Duration minRetryAfter = std::chrono::milliseconds(500);
 /// On top of the time by which an ask would be late: the next try must not meet just the same.
-constexpr Duration leastRetryAfterLate = std::chrono::milliseconds(100);
-constexpr Duration mostRetryAfter = std::chrono::seconds(30);
+constexpr Duration minExtraRetryAfterLate = std::chrono::milliseconds(100);
+constexpr Duration maxRetryAfter = std::chrono::seconds(30);
 /// Over so long come back those that were refused since all endpoints rested.
-constexpr Duration restSpread = std::chrono::milliseconds(500);
+constexpr Duration cooldownRetryJitter = std::chrono::milliseconds(500);
 /// A permit is given up by its home's report only if it is older: the grant may still be on its way.
 constexpr Duration reportGrace = std::chrono::seconds(3);
-constexpr Duration longestEjection = std::chrono::seconds(30);
-constexpr Duration longestEjectionOfLast = std::chrono::seconds(2);
+constexpr Duration maxEjection = std::chrono::seconds(30);
+constexpr Duration maxEjectionOfLastEndpoint = std::chrono::seconds(2);
 /// Asks that are looked at in vain, beyond those that can be granted: few at each ask and release, since hundreds come in a
 /// second and each look costs some 0.5 us an endpoint, and more at each tick, so that those further behind find the engine that
 /// keeps their prompts. With 24 at each event the dispatcher of 90 engines spent its processor on looks in a burst of long
 /// prompts, and 0.39 of the worth of such a day was served where 0.74 is with processor time for nothing.
-constexpr std::size_t mostPassedOverAtEvent = 3;
-constexpr std::size_t mostPassedOverAtTick = 64;
-constexpr std::size_t mostEjectedDivisor = 3; ///< at most a third of the endpoints are ejected for being worse than the others
+constexpr std::size_t maxSkippedPerEvent = 3;
+constexpr std::size_t maxSkippedPerTick = 64;
+constexpr std::size_t maxEjectedDivisor = 3; ///< at most a third of the endpoints are ejected for being worse than the others
 /// A permit outlives its request's deadline by so much: the home's word of its end may still be on the way.
 constexpr Duration expiryGrace = std::chrono::milliseconds(500);
 
@@ -68,7 +68,7 @@
 Shard::Shard(const ShardInfo &info, std::shared_ptr<const Catalogue> catalogue, Instant now)
     : m_info(info)
     , m_catalogue(std::move(catalogue))
-    , m_takenOver(now)
+    , m_takeoverAt(now)
     , m_periodBegan(now)
 {
     buildPolicies();
@@ -122,7 +122,7 @@
     for (QueuedAsk &ask : waiting) {
         // A class that was deleted meanwhile leaves its asks their last terms.
         if (const RequestClass *requestClass = m_catalogue->classNumbered(ask.ask.requestClass)) {
-            ask.terms = poolTerms().of(*requestClass, ask.ask.rank);
+            ask.parameters = poolParameters().forClass(*requestClass, ask.ask.rank);
         }
         enqueue(ask);
     }
@@ -131,11 +131,12 @@
 void Shard::configureEndpoints(Instant now)
 {
     std::erase_if(m_endpoints, [&](const auto &entry) {
-        const bool gone = entry.second.running == 0 && std::ranges::find(m_info.endpoints, entry.first) == m_info.endpoints.end();
-        if (gone) {
-            std::visit([&](auto &placement) { placement.forget(entry.first); }, m_placement);
+        const bool removed
+            = entry.second.running == 0 && std::ranges::find(m_info.endpoints, entry.first) == m_info.endpoints.end();
+        if (removed) {
+            std::visit([&](auto &placement) { placement.removeEndpoint(entry.first); }, m_placement);
         }
-        return gone;
+        return removed;
     });
     for (auto &[number, state] : m_endpoints) {
         // One that left the shard with runs under way gets nothing new.
@@ -146,7 +147,7 @@
         const auto [entry, added] = m_endpoints.try_emplace(number);
         EndpointState &state = entry->second;
         if (added) {
-            state.pace = Rate::Pace(now + sharedRatePeriod);
+            state.rateLimiter = Rate::Pace(now + sharedRatePeriod);
         }
         if (state.slots != endpoint->slots) {
             state.slots = endpoint->slots;
@@ -156,16 +157,16 @@
         state.memoryTokens = endpoint->memoryTokens;
         state.movedTokensPerMs = endpoint->movedTokensPerMs;
     }
-    distrustUnusable();
+    markUnusableUnreliable();
 }
 
 /// Endpoints that leave answer to none but their own runs.
-void Shard::distrustUnusable()
+void Shard::markUnusableUnreliable()
 {
     for (const auto &entry : m_endpoints) {
         const std::uint32_t endpoint = entry.first;
         if (!entry.second.isUsable()) {
-            std::visit([endpoint](auto &placement) { placement.distrust(endpoint); }, m_placement);
+            std::visit([endpoint](auto &placement) { placement.markUnreliable(endpoint); }, m_placement);
         }
     }
 }
@@ -173,17 +174,17 @@
 /// The platform lists an engine for seconds after its end. Another that has its address meanwhile rejects at once what is meant
 /// for it, and by having nothing to do draws all that comes: 38 engines that had crashed drew 1,103 of 26,700 requests in 14 s,
 /// up to 90 each (the large deployment, a fifth and then a quarter of 320 engines crashing in a burst).
-void Shard::markGone(std::uint32_t endpoint)
+void Shard::markReplaced(std::uint32_t endpoint)
 {
     const auto entry = m_endpoints.find(endpoint);
-    if (entry == m_endpoints.end() || entry->second.gone) {
+    if (entry == m_endpoints.end() || entry->second.replaced) {
         return;
     }
-    entry->second.gone = true;
+    entry->second.replaced = true;
     Base::log(Base::LogLevel::Warning, Base::LogEvent::EndpointGone,
               {{"endpoint", endpoint}, {"permits", entry->second.running}});
-    distrustUnusable();
-    refuseAllIfNone();
+    markUnusableUnreliable();
+    refuseAllIfNoEndpoint();
 }
 
 void Shard::configure(const ShardInfo &info, std::shared_ptr<const Catalogue> catalogue, Instant now)
@@ -195,11 +196,11 @@
         buildPolicies();
     }
     configureEndpoints(now);
-    refuseAllIfNone();
-    pump(now, mostPassedOverAtEvent);
+    refuseAllIfNoEndpoint();
+    dispatchQueued(now, maxSkippedPerEvent);
 }
 
-PoolTerms Shard::poolTerms() const
+PoolParameters Shard::poolParameters() const
 {
     return {m_catalogue, m_info.pool};
 }
@@ -236,43 +237,43 @@
         refuse(queued, RefusalReason::UnknownClass);
         return;
     }
-    queued.terms = poolTerms().of(*requestClass, message.rank);
-    if (const auto reason = reasonForNone()) {
+    queued.parameters = poolParameters().forClass(*requestClass, message.rank);
+    if (const auto reason = reasonForNoEndpoint()) {
         refuse(queued, *reason);
         return;
     }
-    if (isHopeless(now, queued)) {
+    if (willMissDeadline(now, queued)) {
         refuse(queued, RefusalReason::DeadlinePassed);
         return;
     }
-    m_lateRefusals.earn(queued.terms.rank);
-    Prospects prospects(now, m_endpoints, m_placement, m_catalogue->policies().refuseLate);
-    const Ahead ahead = prospects.dependOnOthers() ? aheadOf(queued) : Ahead {};
-    if (const Prospect prospect = prospects.of(queued, ahead); mayRefuse(queued, prospect)) {
-        refuse(queued, RefusalReason::TooLate, retryAfterLate(queued, prospect));
+    m_lateRefusals.earn(queued.parameters.rank);
+    WaitEstimates estimates(now, m_endpoints, m_placement, m_catalogue->policies().refuseLate);
+    const QueueAhead ahead = estimates.needQueueAhead() ? aheadOf(queued) : QueueAhead {};
+    if (const WaitEstimate estimate = estimates.forAsk(queued, ahead); mayRefuseAsLate(queued, estimate)) {
+        refuse(queued, RefusalReason::TooLate, retryAfterLate(queued, estimate));
         return;
     }
     enqueue(queued);
-    pump(now, mostPassedOverAtEvent);
+    dispatchQueued(now, maxSkippedPerEvent);
     shedOverLimit(queued);
     if (std::visit([&](const auto &order) { return order.find(key); }, m_order) != nullptr) {
         m_replies.push_back({home, Peer::Queued {message.id}});
     }
 }
 
-void Shard::shedOverLimit(const QueuedAsk &newcomer)
+void Shard::shedOverLimit(const QueuedAsk &newAsk)
 {
     if (queued() <= m_catalogue->policies().queueLimit) {
         return;
     }
-    const AskKey victim = std::visit([&](const auto &order) { return order.victim(newcomer); }, m_order);
-    if (auto shed = std::visit([&](auto &order) { return order.remove(victim); }, m_order)) {
+    const AskKey evictionCandidate = std::visit([&](const auto &order) { return order.evictionCandidate(newAsk); }, m_order);
+    if (auto shed = std::visit([&](auto &order) { return order.remove(evictionCandidate); }, m_order)) {
         ++m_counters.shed;
         refuse(*shed, RefusalReason::QueueFull);
     }
 }
 
-bool Shard::isHopeless(Instant now, const QueuedAsk &ask) const
+bool Shard::willMissDeadline(Instant now, const QueuedAsk &ask) const
 {
     if (ask.deadline <= now) {
         return true;
@@ -280,25 +281,25 @@
     if (!m_catalogue->policies().hopelessShedding || !m_saturated || m_grantsPerSecond <= 0) {
         return false;
     }
-    const std::size_t ahead = std::visit([&](const auto &order) { return order.aheadOf(ask.terms.rank); }, m_order);
+    const std::size_t ahead = std::visit([&](const auto &order) { return order.aheadOf(ask.parameters.rank); }, m_order);
     return static_cast<double>(ahead) / m_grantsPerSecond > Base::seconds(ask.deadline - now);
 }
 
 /// What cannot begin before its deadline would wait in vain, whatever its tier; else a tier has to have refusals left.
-bool Shard::mayRefuse(const QueuedAsk &ask, const Prospect &prospect)
+bool Shard::mayRefuseAsLate(const QueuedAsk &ask, const WaitEstimate &estimate)
 {
-    return prospect.inVain
-        || (prospect.late > Duration::zero() && m_lateRefusals.spend(ask.terms.rank, poolTerms().lowestRank()));
+    return estimate.missesDeadline
+        || (estimate.lateness > Duration::zero() && m_lateRefusals.spend(ask.parameters.rank, poolParameters().lowestRank()));
 }
 
-Ahead Shard::aheadOf(const QueuedAsk &ask) const
+QueueAhead Shard::aheadOf(const QueuedAsk &ask) const
 {
-    Ahead ahead;
+    QueueAhead ahead;
     for (const QueuedAsk *other : queuedAsks()) {
-        const bool before = other->terms.rank < ask.terms.rank
-            || (other->terms.rank == ask.terms.rank && other->arrival <= ask.arrival && other->key != ask.key);
+        const bool before = other->parameters.rank < ask.parameters.rank
+            || (other->parameters.rank == ask.parameters.rank && other->arrival <= ask.arrival && other->key != ask.key);
         if (before) {
-            ahead.work += std::visit([&](const auto &placement) { return placement.work(*other); }, m_placement);
+            ahead.prefillTime += std::visit([&](const auto &placement) { return placement.prefillTime(*other); }, m_placement);
             ++ahead.asks;
         }
     }
@@ -312,25 +313,25 @@
         return;
     }
     std::vector<const QueuedAsk *> inOrder = queuedAsks();
-    std::ranges::sort(inOrder, {}, [](const QueuedAsk *ask) { return std::pair(ask->terms.rank, ask->arrival); });
-    std::vector<std::pair<QueuedAsk, Prospect>> late;
-    Prospects prospects(now, m_endpoints, m_placement, true);
-    Ahead ahead;
+    std::ranges::sort(inOrder, {}, [](const QueuedAsk *ask) { return std::pair(ask->parameters.rank, ask->arrival); });
+    std::vector<std::pair<QueuedAsk, WaitEstimate>> late;
+    WaitEstimates estimates(now, m_endpoints, m_placement, true);
+    QueueAhead ahead;
     for (const QueuedAsk *ask : inOrder) {
-        const Prospect prospect = prospects.of(*ask, ahead);
-        if (prospect.inVain || prospect.late > Duration::zero()) {
-            late.emplace_back(*ask, prospect);
+        const WaitEstimate estimate = estimates.forAsk(*ask, ahead);
+        if (estimate.missesDeadline || estimate.lateness > Duration::zero()) {
+            late.emplace_back(*ask, estimate);
         }
-        if (prospect.inVain) {
+        if (estimate.missesDeadline) {
             continue;
         }
-        ahead.work += std::visit([&](const auto &placement) { return placement.work(*ask); }, m_placement);
+        ahead.prefillTime += std::visit([&](const auto &placement) { return placement.prefillTime(*ask); }, m_placement);
         ++ahead.asks;
     }
-    for (const auto &[ask, prospect] : late) {
-        if (mayRefuse(ask, prospect)) {
+    for (const auto &[ask, estimate] : late) {
+        if (mayRefuseAsLate(ask, estimate)) {
             std::visit([&](auto &order) { order.remove(ask.key); }, m_order);
-            refuse(ask, RefusalReason::TooLate, retryAfterLate(ask, prospect));
+            refuse(ask, RefusalReason::TooLate, retryAfterLate(ask, estimate));
         }
     }
 }
@@ -338,7 +339,7 @@
 void Shard::refuse(const QueuedAsk &ask, RefusalReason reason)
 {
     if (reason == RefusalReason::QueueFull && std::holds_alternative<TieredOrder>(m_order)) {
-        const std::size_t ofTierOrAbove = std::get<TieredOrder>(m_order).aheadOf(ask.terms.rank);
+        const std::size_t ofTierOrAbove = std::get<TieredOrder>(m_order).aheadOf(ask.parameters.rank);
         Base::require(ofTierOrAbove == queued(), Base::Invariant::HigherTierKept);
     }
     refuse(ask, reason, retryAfter());
@@ -350,35 +351,35 @@
     Base::log(Base::LogLevel::Info, Base::LogEvent::AskRefused,
               {{"request", requestName(ask.home, ask.key)},
                {"reason", Base::nameOf(Peer::refusalReasonNames, reason)},
-               {"rank", ask.terms.rank},
+               {"rank", ask.parameters.rank},
                {"waited-ms", Base::milliseconds(ask.received - ask.arrival)},
                {"tokens", ask.ask.promptTokens},
                {"queued", queued()},
                {"permits", m_permits.size()},
                {"retry-after-ms", Base::milliseconds(retryAfter)}});
-    m_replies.push_back({ask.home, Peer::Refusal {ask.key.id, reason, std::min(retryAfter, mostRetryAfter), pressure()}});
+    m_replies.push_back({ask.home, Peer::Refusal {ask.key.id, reason, std::min(retryAfter, maxRetryAfter), pressure()}});
 }
 
 std::uint32_t Shard::pressure() const
 {
     constexpr std::size_t thousand = 1000;
-    const std::size_t windows = std::max<std::size_t>(1, windowsOf(m_endpoints));
+    const std::size_t windows = std::max<std::size_t>(1, totalWindow(m_endpoints));
     return static_cast<std::uint32_t>(thousand * (queued() + m_permits.size()) / windows);
 }
 
-std::optional<RefusalReason> Shard::reasonForNone() const
+std::optional<RefusalReason> Shard::reasonForNoEndpoint() const
 {
     const auto states = m_endpoints | std::views::values;
     if (std::ranges::none_of(states, &EndpointState::isUsable)) {
         return RefusalReason::NoEndpoint;
     }
-    const bool allDown = std::ranges::none_of(states, &EndpointState::takesWork);
+    const bool allDown = std::ranges::none_of(states, &EndpointState::acceptsWork);
     return allDown ? std::optional(RefusalReason::EndpointsDown) : std::nullopt;
 }
 
-void Shard::refuseAllIfNone()
+void Shard::refuseAllIfNoEndpoint()
 {
-    const auto reason = reasonForNone();
+    const auto reason = reasonForNoEndpoint();
     if (!reason || queued() == 0) {
         return;
     }
@@ -390,24 +391,24 @@
 
 /// Where all endpoints rest: when the first of them takes requests again, so spread that not all that were refused return at
 /// once.
-Duration Shard::retryAfterLate(const QueuedAsk &ask, const Prospect &prospect)
+Duration Shard::retryAfterLate(const QueuedAsk &ask, const WaitEstimate &estimate)
 {
-    const Duration late = prospect.late + leastRetryAfterLate;
-    if (prospect.opens == Duration::zero()) {
+    const Duration late = estimate.lateness + minExtraRetryAfterLate;
+    if (estimate.cooldown == Duration::zero()) {
         return late;
     }
-    const auto spread = static_cast<Duration::rep>(Base::hash64(requestName(ask.home, ask.key)) % restSpread.count());
-    return std::max(late, prospect.opens + leastRetryAfterLate + Duration(spread));
+    const auto spread = static_cast<Duration::rep>(Base::hash64(requestName(ask.home, ask.key)) % cooldownRetryJitter.count());
+    return std::max(late, estimate.cooldown + minExtraRetryAfterLate + Duration(spread));
 }
 
 Duration Shard::retryAfter() const
 {
     if (m_grantsPerSecond <= 0) {
-        return leastRetryAfter;
+        return minRetryAfter;
     }
     const double drainSeconds = static_cast<double>(queued()) / m_grantsPerSecond;
     const auto drain = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(drainSeconds));
-    return std::clamp(drain, leastRetryAfter, mostRetryAfter);
+    return std::clamp(drain, minRetryAfter, maxRetryAfter);
 }
 
 void Shard::withdraw(Instant now, const Home &home, const Peer::Withdrawal &withdrawal)
@@ -419,17 +420,17 @@
         // The grant crossed the withdrawal; the home will not use it.
         dropPermit(key);
     }
-    pump(now, mostPassedOverAtEvent);
+    dispatchQueued(now, maxSkippedPerEvent);
 }
 
-void Shard::dropPermit(const AskKey &key, const SeenTokens &seen)
+void Shard::dropPermit(const AskKey &key, const ObservedTokens &seen)
 {
     const auto permit = m_permits.find(key);
     if (permit == m_permits.end()) {
         return;
     }
     const auto endpoint = m_endpoints.find(permit->second.endpoint);
-    std::visit([&](auto &placement) { placement.ended(permit->second.placed, seen); }, m_placement);
+    std::visit([&](auto &placement) { placement.recordEnd(permit->second.placed, seen); }, m_placement);
     m_permits.erase(permit);
     if (endpoint == m_endpoints.end()) {
         return;
@@ -445,35 +446,35 @@
     if (permit != m_permits.end()) {
         ++m_counters.released;
         EndpointState &state = m_endpoints[permit->second.endpoint];
-        const ClassTerms &terms = permit->second.terms;
+        const ClassParameters &parameters = permit->second.parameters;
         const bool failed = release.result == RunResult::Failed || release.result == RunResult::Unreachable;
-        const bool answeredError = release.result == RunResult::AnsweredError;
-        if (answeredError || release.result == RunResult::Failed || release.result == RunResult::Completed) {
-            state.rests.accepted();
+        const bool errorResponse = release.result == RunResult::AnsweredError;
+        if (errorResponse || release.result == RunResult::Failed || release.result == RunResult::Completed) {
+            state.cooldowns.recordAcceptance();
         }
-        const Observation observation {release.firstToken, release.gap, poolTerms().tightestFirstToken(),
-                                       terms.tokenGap,     failed,      permit->second.windowWasFull,
-                                       answeredError};
-        if (failed || answeredError || release.tokens > 0) {
+        const Observation observation {release.firstToken,  release.gap, poolParameters().tightestFirstToken(),
+                                       parameters.tokenGap, failed,      permit->second.windowWasFull,
+                                       errorResponse};
+        if (failed || errorResponse || release.tokens > 0) {
             std::visit([&](auto &window) { window.observe(observation, now); }, state.window);
             state.health.observe(observation);
         }
         dropPermit(key, {release.firstToken, {release.gap, release.longestGap}});
-        ejectBad(now);
+        ejectUnhealthy(now);
     }
     if (release.result == RunResult::Refused) {
-        noteTurnedAway(now, home, release.endpoint);
+        recordRejectedRun(now, home, release.endpoint);
     }
     if (release.result == RunResult::Gone) {
-        markGone(release.endpoint);
+        markReplaced(release.endpoint);
     }
-    pump(now, mostPassedOverAtEvent);
+    dispatchQueued(now, maxSkippedPerEvent);
 }
 
-void Shard::noteTurnedAway(Instant now, const Home &home, std::uint32_t endpoint)
+void Shard::recordRejectedRun(Instant now, const Home &home, std::uint32_t endpoint)
 {
     if (const auto entry = m_endpoints.find(endpoint); entry != m_endpoints.end()) {
-        entry->second.rests.turnedAway(now, home.incarnation);
+        entry->second.cooldowns.recordRejection(now, home.incarnation);
     }
 }
 
@@ -495,49 +496,50 @@
             continue;
         }
         const RequestClass *requestClass = m_catalogue->classNumbered(entry.requestClass);
-        const ClassTerms terms = requestClass == nullptr ? ClassTerms {} : poolTerms().of(*requestClass);
-        m_permits.emplace(key, Permit {home, entry.endpoint, terms, now, {}, false, {}});
+        const ClassParameters parameters
+            = requestClass == nullptr ? ClassParameters {} : poolParameters().forClass(*requestClass);
+        m_permits.emplace(key, Permit {home, entry.endpoint, parameters, now, {}, false, {}});
         ++endpoint->second.running;
     }
     checkPermits();
-    pump(now, mostPassedOverAtEvent);
+    dispatchQueued(now, maxSkippedPerEvent);
 }
 
-void Shard::hearEndpoint(Instant now, const Home &home, const Peer::EndpointNews &news)
+void Shard::applyEndpointUpdate(Instant now, const Home &home, const Peer::EndpointNews &news)
 {
     const auto endpoint = m_endpoints.find(news.endpoint);
     if (endpoint != m_endpoints.end()) {
-        hearRate(now, home, news, endpoint->second);
-        hearLeaving(now, home, news, endpoint->second);
-        hearRest(now, home, news, endpoint->second);
+        applyRateUpdate(now, home, news, endpoint->second);
+        applyLeavingUpdate(now, home, news, endpoint->second);
+        applyCooldownUpdate(now, home, news, endpoint->second);
     }
 }
 
 /// Every run at an endpoint that limits its rate is to be counted, and only the dispatcher sees them all. What it counts by it
 /// has from the homes: those whose runs were told, and those that know better than a grant that comes to them.
-void Shard::hearRate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
+void Shard::applyRateUpdate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
 {
-    const Rate::KnownRate before = state.pace.known();
-    if (state.pace.hear(now, Rate::knownFrom(news.rate, now))) {
-        Rate::logChange(news.endpoint, before, state.pace.known(), home.name);
-        pump(now, mostPassedOverAtEvent);
+    const Rate::KnownRate before = state.rateLimiter.known();
+    if (state.rateLimiter.hear(now, Rate::knownFrom(news.rate, now))) {
+        Rate::logChange(news.endpoint, before, state.rateLimiter.known(), home.name);
+        dispatchQueued(now, maxSkippedPerEvent);
     }
 }
 
-void Shard::hearLeaving(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
+void Shard::applyLeavingUpdate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
 {
     if (news.availability.leavesFor == Duration::zero()) {
         return;
     }
-    state.leavesUntil = std::max(state.leavesUntil, now + news.availability.leavesFor);
-    if (!std::exchange(state.saysItLeaves, true)) {
+    state.leavingUntil = std::max(state.leavingUntil, now + news.availability.leavesFor);
+    if (!std::exchange(state.announcedLeaving, true)) {
         Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaves, {{"endpoint", news.endpoint}, {"source", home.name}});
-        distrustUnusable();
-        refuseAllIfNone();
+        markUnusableUnreliable();
+        refuseAllIfNoEndpoint();
     }
 }
 
-void Shard::hearRest(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
+void Shard::applyCooldownUpdate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
 {
     if (news.availability.restsFor == Duration::zero()) {
         return;
@@ -545,44 +547,44 @@
     Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointRests,
               {{"endpoint", news.endpoint},
                {"for-ms", Base::milliseconds(news.availability.restsFor)},
-               {"rested", !state.rests.allow(now, home.incarnation)},
+               {"rested", !state.cooldowns.allows(now, home.incarnation)},
                {"source", home.name}});
-    state.rests.asked(home.incarnation, now + news.availability.restsFor);
-    m_resting.insert(news.endpoint);
+    state.cooldowns.startFor(home.incarnation, now + news.availability.restsFor);
+    m_coolingDown.insert(news.endpoint);
 }
 
-void Shard::endRests(Instant now)
+void Shard::expireAnnouncements(Instant now)
 {
-    std::erase_if(m_resting, [&](std::uint32_t number) {
+    std::erase_if(m_coolingDown, [&](std::uint32_t number) {
         const auto endpoint = m_endpoints.find(number);
         if (endpoint != m_endpoints.end()) {
-            endpoint->second.rests.tick(now);
+            endpoint->second.cooldowns.removeExpired(now);
         }
-        return endpoint == m_endpoints.end() || !endpoint->second.rests.any(now);
+        return endpoint == m_endpoints.end() || !endpoint->second.cooldowns.isActive(now);
     });
     for (EndpointState &state : m_endpoints | std::views::values) {
-        state.saysItLeaves = state.saysItLeaves && now < state.leavesUntil;
+        state.announcedLeaving = state.announcedLeaving && now < state.leavingUntil;
     }
 }
 
 bool Shard::isAllowed(Instant now, const QueuedAsk &ask, std::uint32_t endpoint) const
 {
-    return !m_resting.contains(endpoint) || m_endpoints.at(endpoint).rests.allow(now, ask.home.incarnation);
+    return !m_coolingDown.contains(endpoint) || m_endpoints.at(endpoint).cooldowns.allows(now, ask.home.incarnation);
 }
 
-void Shard::homeGone(Instant now, const std::string &name, std::uint64_t keep)
+void Shard::removeHome(Instant now, const std::string &name, std::uint64_t keep)
 {
-    const auto gone = [&](const Home &home) { return home.name == name && home.incarnation != keep; };
+    const auto isRemoved = [&](const Home &home) { return home.name == name && home.incarnation != keep; };
     std::vector<AskKey> keys;
     for (const auto &[key, permit] : m_permits) {
-        if (gone(permit.home)) {
+        if (isRemoved(permit.home)) {
             keys.push_back(key);
         }
     }
     std::ranges::for_each(keys, [this](const AskKey &key) { dropPermit(key); });
     keys.clear();
     for (const QueuedAsk *ask : queuedAsks()) {
-        if (gone(ask->home)) {
+        if (isRemoved(ask->home)) {
             keys.push_back(ask->key);
         }
     }
@@ -590,7 +592,7 @@
         std::visit([&](auto &order) { order.remove(key); }, m_order);
         ++m_counters.withdrawn;
     }
-    pump(now, mostPassedOverAtEvent);
+    dispatchQueued(now, maxSkippedPerEvent);
 }
 
 void Shard::setLeaving(Instant now, const std::vector<std::uint32_t> &endpoints)
@@ -598,22 +600,22 @@
     for (auto &[number, state] : m_endpoints) {
         state.leaving = std::ranges::find(endpoints, number) != endpoints.end();
     }
-    distrustUnusable();
-    refuseAllIfNone();
-    pump(now, mostPassedOverAtEvent);
+    markUnusableUnreliable();
+    refuseAllIfNoEndpoint();
+    dispatchQueued(now, maxSkippedPerEvent);
 }
 
-void Shard::dropExpired(Instant now)
+void Shard::dropExpiredPermits(Instant now)
 {
     std::vector<AskKey> expired;
     for (auto &[key, permit] : m_permits) {
         if (now >= permit.expires) {
             expired.push_back(key);
         }
-        if (!permit.accepted && now >= permit.grantedAt + refusalArrives) {
+        if (!permit.accepted && now >= permit.grantedAt + maxRejectionDelay) {
             permit.accepted = true;
             if (const auto endpoint = m_endpoints.find(permit.endpoint); endpoint != m_endpoints.end()) {
-                endpoint->second.rests.accepted();
+                endpoint->second.cooldowns.recordAcceptance();
             }
         }
     }
@@ -626,11 +628,11 @@
 
 void Shard::tick(Instant now)
 {
-    dropExpired(now);
-    endRests(now);
+    dropExpiredPermits(now);
+    expireAnnouncements(now);
     if (now - m_periodBegan >= ratePeriod) {
         const double rate = static_cast<double>(m_grantsInPeriod) / Base::seconds(now - m_periodBegan);
-        m_grantsPerSecond = m_grantsPerSecond <= 0 ? rate : m_grantsPerSecond + rateShareOfLatest * (rate - m_grantsPerSecond);
+        m_grantsPerSecond = m_grantsPerSecond <= 0 ? rate : m_grantsPerSecond + latestRateWeight * (rate - m_grantsPerSecond);
         m_grantsInPeriod = 0;
         m_periodBegan = now;
         m_saturated = queued() > 0;
@@ -644,46 +646,46 @@
     for (EndpointState &state : m_endpoints | std::views::values) {
         state.health.tick(now);
     }
-    ejectBad(now);
-    pump(now, mostPassedOverAtTick);
+    ejectUnhealthy(now);
+    dispatchQueued(now, maxSkippedPerTick);
 }
 
-void Shard::ejectBad(Instant now)
+void Shard::ejectUnhealthy(Instant now)
 {
     const bool ejectSlow = m_catalogue->policies().ejectSlow;
-    const auto median = medianPace(m_endpoints);
+    const auto median = medianInterTokenLatency(m_endpoints);
     const auto errors = medianErrorShare(m_endpoints);
-    std::size_t ejected = ejectedOf(m_endpoints);
+    std::size_t ejected = ejectedCount(m_endpoints);
     for (auto &[number, state] : m_endpoints) {
-        const bool mayCompare = (ejected + 1) * mostEjectedDivisor <= m_endpoints.size();
-        const bool worse = state.health.isErring(errors) || (ejectSlow && state.health.isSlow(median));
+        const bool mayCompare = (ejected + 1) * maxEjectedDivisor <= m_endpoints.size();
+        const bool worse = state.health.hasHighErrorShare(errors) || (ejectSlow && state.health.isSlow(median));
         const bool bad = state.health.isFailing() || (mayCompare && worse);
         if (!bad || state.health.state() == HealthState::Ejected) {
             continue;
         }
         // With no other endpoint left there is nothing to spare by probing seldom.
         const bool last = ejected + 1 >= m_endpoints.size();
-        state.health.eject(now, last ? longestEjectionOfLast : longestEjection);
-        std::visit([&](auto &placement) { placement.distrust(number); }, m_placement);
+        state.health.eject(now, last ? maxEjectionOfLastEndpoint : maxEjection);
+        std::visit([&](auto &placement) { placement.markUnreliable(number); }, m_placement);
         ++ejected;
         ++m_counters.ejections;
         Base::log(Base::LogLevel::Warning, Base::LogEvent::EndpointEjected,
                   {{"endpoint", number},
                    {"failures", state.health.failures()},
-                   {"pace-ms", Base::milliseconds(state.health.pace().value_or(Duration::zero()))}});
+                   {"pace-ms", Base::milliseconds(state.health.interTokenLatency().value_or(Duration::zero()))}});
     }
-    refuseAllIfNone();
+    refuseAllIfNoEndpoint();
 }
 
-std::uint32_t Shard::room(const EndpointState &state, Instant now) const
+std::uint32_t Shard::freeSlots(const EndpointState &state, Instant now) const
 {
-    if (!state.takesWork()) {
+    if (!state.acceptsWork()) {
         return 0;
     }
     std::uint32_t window = state.windowSize();
     if (state.health.state() == HealthState::Probing) {
         window = 1;
-    } else if (now - m_takenOver < takeOverPeriod) {
+    } else if (now - m_takeoverAt < takeoverPeriod) {
         window = std::max(1U, window / 2);
     }
     return window > state.running ? window - state.running : 0;
@@ -693,8 +695,8 @@
 {
     std::vector<Candidate> found;
     for (const auto &[number, state] : m_endpoints) {
-        const std::uint32_t free = room(state, now);
-        if (free > 0 && state.pace.left(now) > 0 && state.rests.allowSome(now)) {
+        const std::uint32_t free = freeSlots(state, now);
+        if (free > 0 && state.rateLimiter.left(now) > 0 && state.cooldowns.allowsAnyHome(now)) {
             found.push_back({number, state.running, state.running + free, state.memoryTokens, state.movedTokensPerMs});
         }
     }
@@ -708,41 +710,41 @@
         return Duration::zero();
     }
     // Runs differ: an ask that would only just be on time by the median is more often late.
-    return std::chrono::duration_cast<Duration>(*median * expectedMargin) + expectedTransit;
+    return std::chrono::duration_cast<Duration>(*median * firstTokenMargin) + expectedNetworkDelay;
 }
 
-void Shard::pump(Instant now, std::size_t mostPassedOver)
+void Shard::dispatchQueued(Instant now, std::size_t maxSkipped)
 {
     if (queued() == 0) {
         return;
     }
     const Duration expected = expectedFirstToken();
-    std::vector<Candidate> withRoom = candidates(now);
+    std::vector<Candidate> withFreeSlots = candidates(now);
     // One that no endpoint can take now, for its size or for the prompts it would wait behind, holds up none of the others.
-    std::vector<QueuedAsk> passedOver;
-    while (queued() > 0 && passedOver.size() < mostPassedOver && !withRoom.empty()) {
+    std::vector<QueuedAsk> skipped;
+    while (queued() > 0 && skipped.size() < maxSkipped && !withFreeSlots.empty()) {
         const auto key = std::visit([&](auto &order) { return order.next(now, expected); }, m_order);
         const QueuedAsk waiting = *std::visit([&](const auto &order) { return order.find(*key); }, m_order);
-        if (serve(now, waiting, withRoom)) {
-            withRoom = candidates(now);
+        if (tryGrant(now, waiting, withFreeSlots)) {
+            withFreeSlots = candidates(now);
         } else {
-            passedOver.push_back(waiting);
+            skipped.push_back(waiting);
             std::visit([&](auto &order) { order.remove(waiting.key); }, m_order);
         }
     }
-    std::ranges::for_each(passedOver, [this](const QueuedAsk &ask) { enqueue(ask); });
+    std::ranges::for_each(skipped, [this](const QueuedAsk &ask) { enqueue(ask); });
 }
 
 /// Grants @p waiting if there is an endpoint for it now among those @p withRoom.
-bool Shard::serve(Instant now, const QueuedAsk &waiting, const std::vector<Candidate> &withRoom)
+bool Shard::tryGrant(Instant now, const QueuedAsk &waiting, const std::vector<Candidate> &withFreeSlots)
 {
-    ++m_counters.looks;
+    ++m_counters.evaluations;
     std::vector<Candidate> others;
     // The endpoint of a failed try is used again only if there is no other.
-    const bool avoids = waiting.ask.avoid != 0 && withRoom.size() > 1;
-    const bool filters = avoids || !m_resting.empty();
+    const bool avoids = waiting.ask.avoid != 0 && withFreeSlots.size() > 1;
+    const bool filters = avoids || !m_coolingDown.empty();
     if (filters) {
-        std::ranges::copy_if(withRoom, std::back_inserter(others), [&](const Candidate &candidate) {
+        std::ranges::copy_if(withFreeSlots, std::back_inserter(others), [&](const Candidate &candidate) {
             const bool avoided = avoids && candidate.endpoint == waiting.ask.avoid;
             return !avoided && isAllowed(now, waiting, candidate.endpoint);
         });
@@ -750,7 +752,7 @@
             return false;
         }
     }
-    const std::vector<Candidate> &found = filters ? others : withRoom;
+    const std::vector<Candidate> &found = filters ? others : withFreeSlots;
     const auto endpoint = std::visit([&](const auto &placement) { return placement.choose(waiting, found, now); }, m_placement);
     if (!endpoint) {
         return false;
@@ -763,23 +765,24 @@
 void Shard::grant(Instant now, const QueuedAsk &ask, std::uint32_t endpoint)
 {
     EndpointState &state = m_endpoints.at(endpoint);
-    const Candidate chosen {endpoint, state.running, state.running + room(state, now), state.memoryTokens,
+    const Candidate chosen {endpoint, state.running, state.running + freeSlots(state, now), state.memoryTokens,
                             state.movedTokensPerMs};
-    const PlacedRun placed = std::visit([&](auto &placement) { return placement.placed(ask, chosen, now); }, m_placement);
+    const PlacedRun placed
+        = std::visit([&](auto &placement) { return placement.recordPlacement(ask, chosen, now); }, m_placement);
     Base::require(state.isUsable(), Base::Invariant::LeavingGetsNothing);
     Base::require(!m_permits.contains(ask.key), Base::Invariant::AnsweredOnce);
     ++state.running;
-    const Rate::RateWord rate = state.pace.known().word(now);
-    state.pace.spend(now);
-    state.rests.granted(now);
+    const Rate::RateWord rate = state.rateLimiter.known().word(now);
+    state.rateLimiter.spend(now);
+    state.cooldowns.recordGrant(now);
     // The home's clock runs as fast as this one, so that the time waited here can be added to the time it sent the ask.
-    const Instant startBy = ask.ask.sentAt + (now - ask.received) + startWithin;
+    const Instant startBy = ask.ask.sentAt + (now - ask.received) + startTimeout;
     Permit permit {ask.home,
                    endpoint,
-                   ask.terms,
+                   ask.parameters,
                    now,
                    {ask.key.id, endpoint, startBy, pressure(), placed.keeper, rate},
-                   room(state, now) == 0,
+                   freeSlots(state, now) == 0,
                    placed};
     const RequestClass *requestClass = m_catalogue->classNumbered(ask.ask.requestClass);
     if (requestClass != nullptr && requestClass->deadlineEndsRun) {
@@ -793,7 +796,7 @@
 
 void Shard::checkPermits() const
 {
-    Base::require(runningOn(m_endpoints) == m_permits.size(), Base::Invariant::PermitsWithinGrants);
+    Base::require(totalRunning(m_endpoints) == m_permits.size(), Base::Invariant::PermitsWithinGrants);
 }
 
 void Shard::handOver()
@@ -840,7 +843,7 @@
     view.total = queued();
     if (const QueuedAsk *ask = std::visit([&](const auto &order) { return order.find(key); }, m_order)) {
         view.queued = true;
-        view.ahead = std::visit([&](const auto &order) { return order.aheadOf(ask->terms.rank); }, m_order);
+        view.ahead = std::visit([&](const auto &order) { return order.aheadOf(ask->parameters.rank); }, m_order);
     }
     if (const auto permit = m_permits.find(key); permit != m_permits.end()) {
         view.endpoint = permit->second.endpoint;
--- a/Source/Dispatch/shard.h
+++ b/Source/Dispatch/shard.h
@@ -11,10 +11,10 @@
 #include "Dispatch/laterefusals.h"
 #include "Dispatch/order.h"
 #include "Dispatch/placement.h"
-#include "Dispatch/poolterms.h"
-#include "Dispatch/prospects.h"
+#include "Dispatch/poolparameters.h"
 #include "Dispatch/queuedask.h"
 #include "Dispatch/shardmap.h"
+#include "Dispatch/waitestimates.h"
 
 #include <cstdint>
 #include <map>
@@ -44,7 +44,7 @@
     std::uint64_t withdrawn = 0;
     std::uint64_t released = 0;
     std::uint64_t ejections = 0;
-    std::uint64_t looks = 0; ///< asks weighed against all endpoints, in vain or not
+    std::uint64_t evaluations = 0; ///< asks weighed against all endpoints, in vain or not
 };
 
 /// Where an ask stands.
@@ -73,10 +73,10 @@
     void report(Base::Instant now, const Home &home, const Peer::RunningReport &report);
 
     /// A home knows something of an endpoint by the endpoint's own answers.
-    void hearEndpoint(Base::Instant now, const Home &home, const Peer::EndpointNews &news);
+    void applyEndpointUpdate(Base::Instant now, const Home &home, const Peer::EndpointNews &news);
 
     /// Drops all asks and permits of a home that is dead; an incarnation of 0 stands for all but @p keep.
-    void homeGone(Base::Instant now, const std::string &name, std::uint64_t keep);
+    void removeHome(Base::Instant now, const std::string &name, std::uint64_t keep);
 
     /// An endpoint that the platform lists as leaving, or no longer does.
     void setLeaving(Base::Instant now, const std::vector<std::uint32_t> &endpoints);
@@ -104,7 +104,7 @@
     {
         Home home;
         std::uint32_t endpoint = 0;
-        ClassTerms terms;
+        ClassParameters parameters;
         Base::Instant grantedAt {};
         Peer::Grant grant;
         bool windowWasFull = false;
@@ -119,46 +119,46 @@
 
     void buildPolicies();
     void configureEndpoints(Base::Instant now);
-    void distrustUnusable();
-    void markGone(std::uint32_t endpoint);
-    PoolTerms poolTerms() const;
+    void markUnusableUnreliable();
+    void markReplaced(std::uint32_t endpoint);
+    PoolParameters poolParameters() const;
     void enqueue(const QueuedAsk &ask);
-    void shedOverLimit(const QueuedAsk &newcomer);
-    bool isHopeless(Base::Instant now, const QueuedAsk &ask) const;
+    void shedOverLimit(const QueuedAsk &newAsk);
+    bool willMissDeadline(Base::Instant now, const QueuedAsk &ask) const;
     void refuse(const QueuedAsk &ask, Peer::RefusalReason reason);
     void refuse(const QueuedAsk &ask, Peer::RefusalReason reason, Base::Duration retryAfter);
     /// Grants what there is room for; looks at @p mostPassedOver asks in vain before it gives up.
-    void pump(Base::Instant now, std::size_t mostPassedOver);
-    bool serve(Base::Instant now, const QueuedAsk &waiting, const std::vector<Candidate> &withRoom);
+    void dispatchQueued(Base::Instant now, std::size_t maxSkipped);
+    bool tryGrant(Base::Instant now, const QueuedAsk &waiting, const std::vector<Candidate> &withFreeSlots);
     std::vector<Candidate> candidates(Base::Instant now) const;
     /// Slots of its window that are free.
-    std::uint32_t room(const EndpointState &state, Base::Instant now) const;
+    std::uint32_t freeSlots(const EndpointState &state, Base::Instant now) const;
     void grant(Base::Instant now, const QueuedAsk &ask, std::uint32_t endpoint);
-    void dropPermit(const AskKey &key, const SeenTokens &seen = {});
-    bool mayRefuse(const QueuedAsk &ask, const Prospect &prospect);
-    Ahead aheadOf(const QueuedAsk &ask) const;
+    void dropPermit(const AskKey &key, const ObservedTokens &seen = {});
+    bool mayRefuseAsLate(const QueuedAsk &ask, const WaitEstimate &estimate);
+    QueueAhead aheadOf(const QueuedAsk &ask) const;
     void refuseLate(Base::Instant now);
-    void dropExpired(Base::Instant now);
-    void ejectBad(Base::Instant now);
-    void hearRate(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
-    void hearLeaving(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
-    void hearRest(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
-    void noteTurnedAway(Base::Instant now, const Home &home, std::uint32_t endpoint);
-    void endRests(Base::Instant now);
+    void dropExpiredPermits(Base::Instant now);
+    void ejectUnhealthy(Base::Instant now);
+    void applyRateUpdate(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
+    void applyLeavingUpdate(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
+    void applyCooldownUpdate(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
+    void recordRejectedRun(Base::Instant now, const Home &home, std::uint32_t endpoint);
+    void expireAnnouncements(Base::Instant now);
     bool isAllowed(Base::Instant now, const QueuedAsk &ask, std::uint32_t endpoint) const;
     Base::Duration expectedFirstToken() const;
     Base::Duration retryAfter() const;
-    static Base::Duration retryAfterLate(const QueuedAsk &ask, const Prospect &prospect);
+    static Base::Duration retryAfterLate(const QueuedAsk &ask, const WaitEstimate &estimate);
     std::uint32_t pressure() const;
     /// Why no endpoint can be expected to take work, if none can.
-    std::optional<Peer::RefusalReason> reasonForNone() const;
-    void refuseAllIfNone();
+    std::optional<Peer::RefusalReason> reasonForNoEndpoint() const;
+    void refuseAllIfNoEndpoint();
     void noteGrant(Base::Instant now);
     void checkPermits() const;
 
     ShardInfo m_info;
     std::shared_ptr<const Configuration::Catalogue> m_catalogue;
-    Base::Instant m_takenOver;
+    Base::Instant m_takeoverAt;
     Configuration::PlacementPolicy m_placementPolicy {};
     Order m_order;
     Placement m_placement;
@@ -170,7 +170,7 @@
     std::uint64_t m_grantsInPeriod = 0;
     Base::Instant m_periodBegan {};
     LateRefusals m_lateRefusals;
-    std::set<std::uint32_t> m_resting; ///< endpoints that have asked some home for rest
+    std::set<std::uint32_t> m_coolingDown; ///< endpoints that have asked some home for rest
     bool m_saturated = false; ///< asks waited through the whole present period
 };
 
--- a/Source/Dispatch/shardmap.cpp
+++ b/Source/Dispatch/shardmap.cpp
@@ -21,14 +21,14 @@
 using Peer::MemberState;
 
 /// Of a dispatcher's processor, for its decisions at the rate below. The rest is for its own callers, messages and bursts.
-constexpr double shareForDecisions = 1.0 / 3.0;
+constexpr double cpuShareForDecisions = 1.0 / 3.0;
 /// Requests a second before one endpoint at the target size (5,600 before 600). Today's largest deployment has a third of it.
-constexpr double decisionsASecondAndEndpoint = 9.3;
+constexpr double decisionsPerSecondPerEndpoint = 9.3;
 /// Processor time of a request at its dispatcher for each endpoint of the shard: 0.044 of a core with 320 endpoints and 960
 /// requests a second (a day of high load of the large deployment, the busiest host, its own callers included).
-constexpr double secondsADecisionAndEndpoint = 0.14e-6;
+constexpr double cpuSecondsPerDecisionPerEndpoint = 0.14e-6;
 /// Where the processor is not known, or small.
-constexpr std::size_t leastEndpointsOfShard = 32;
+constexpr std::size_t minEndpointsPerShard = 32;
 
 struct GroupKey
 {
@@ -46,7 +46,7 @@
 /// The shards of one group; each gets the same share of the asks, so that their sizes must not differ. Rendezvous hashing
 /// (Thaler and Ravishankar, 1998) with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018): the shard with the highest
 /// hash wins unless it is full, so that an endpoint that comes or goes moves few others.
-std::vector<std::vector<const Endpoint *>> divide(const std::vector<const Endpoint *> &endpoints, std::size_t shards)
+std::vector<std::vector<const Endpoint *>> assignToShards(const std::vector<const Endpoint *> &endpoints, std::size_t shards)
 {
     const std::size_t most = (endpoints.size() + shards - 1) / shards;
     std::vector<std::vector<const Endpoint *>> divided(shards);
@@ -66,32 +66,32 @@
 
 /// Endpoints of one shard, by what its dispatcher can bear: a decision looks at each of them, and decisions come in proportion
 /// to them too, so that a dispatcher's work grows with their square.
-std::size_t endpointsBorne(std::uint32_t milliCores)
+std::size_t maxEndpointsForCpu(std::uint32_t milliCores)
 {
     constexpr double perCore = 1000.0;
-    const double time = milliCores / perCore * shareForDecisions;
-    return static_cast<std::size_t>(std::sqrt(time / (secondsADecisionAndEndpoint * decisionsASecondAndEndpoint)));
+    const double time = milliCores / perCore * cpuShareForDecisions;
+    return static_cast<std::size_t>(std::sqrt(time / (cpuSecondsPerDecisionPerEndpoint * decisionsPerSecondPerEndpoint)));
 }
 
 /// Few large shards know more than many small ones: of the prompts that endpoints keep, of who has room and of who is gone, also
 /// of an endpoint that moves when another comes or goes; and a home hears from each of them more often. As large as the hosts
 /// with the most processor bear, since these dispatch. Worth of a day of high load at the large deployment, 320 endpoints, single
 /// plays without processor time, which differ by 0.03: ten shards 0.49 and 0.53, two 0.57, one 0.55 and 0.60.
-std::size_t endpointsOfShard(const Configuration::Policies &policies, const std::vector<Member> &members)
+std::size_t endpointsPerShard(const Configuration::Policies &policies, const std::vector<Member> &members)
 {
     if (policies.shardSize > 0) {
         return policies.shardSize;
     }
     const auto most = std::ranges::max_element(members, {}, &Member::milliCores);
-    return most == members.end() ? leastEndpointsOfShard : std::max(leastEndpointsOfShard, endpointsBorne(most->milliCores));
+    return most == members.end() ? minEndpointsPerShard : std::max(minEndpointsPerShard, maxEndpointsForCpu(most->milliCores));
 }
 
 /// A number that changes moves half of the endpoints or more, and with them goes what their dispatchers know. Endpoints that
 /// ended are listed for some seconds beside those that take their places, half as many again when a third of a pool crashes: by
 /// powers of two, the number changes where the endpoints double, and not with each wave.
-std::size_t shardsFor(std::size_t endpoints, std::size_t shardSize, bool byProcessor)
+std::size_t shardsFor(std::size_t endpoints, std::size_t shardSize, bool sizedByCpu)
 {
-    if (!byProcessor) {
+    if (!sizedByCpu) {
         return (endpoints + shardSize - 1) / shardSize;
     }
     const double ratio = static_cast<double>(endpoints) / static_cast<double>(shardSize);
@@ -131,7 +131,7 @@
         const bool whole = catalogue.policies().wholePoolShards;
         groups[{endpoint.pool, whole ? std::string() : endpoint.dataCentre}].push_back(&endpoint);
     }
-    const std::size_t shardSize = endpointsOfShard(catalogue.policies(), members);
+    const std::size_t shardSize = endpointsPerShard(catalogue.policies(), members);
     for (const auto &[key, endpoints] : groups) {
         const std::size_t count = shardsFor(endpoints.size(), shardSize, catalogue.policies().shardSize == 0);
         std::vector<ShardInfo> shards(count);
@@ -139,7 +139,7 @@
             shards[index] = {shardId(key, index), key.pool, key.dataCentre, static_cast<std::uint32_t>(index), {}, {}};
             shards[index].dispatcher = chooseDispatcher(shards[index], hashed);
         }
-        const auto divided = divide(endpoints, count);
+        const auto divided = assignToShards(endpoints, count);
         for (std::size_t index = 0; index < count; ++index) {
             std::ranges::transform(divided[index], std::back_inserter(shards[index].endpoints), &Endpoint::number);
             std::ranges::sort(shards[index].endpoints);
--- a/Source/Dispatch/prospects.h
+++ b/Source/Dispatch/waitestimates.h
@@ -20,48 +20,48 @@
 using Placement = std::variant<RoundRobin, LeastLoaded, PrefixAffinity, SoonestFirstToken>;
 
 /// What is to be served before an ask.
-struct Ahead
+struct QueueAhead
 {
-    Base::Duration work {};
+    Base::Duration prefillTime {};
     std::size_t asks = 0;
 };
 
-struct Prospect
+struct WaitEstimate
 {
-    Base::Duration late {}; ///< by which the first token must be expected to miss its target; zero if it need not
-    bool inVain = false; ///< it cannot begin before its deadline
-    Base::Duration opens {}; ///< until an endpoint takes requests of its home
+    Base::Duration lateness {}; ///< by which the first token must be expected to miss its target; zero if it need not
+    bool missesDeadline = false; ///< it cannot begin before its deadline
+    Base::Duration cooldown {}; ///< until an endpoint takes requests of its home
 };
 
 /// Of one shard at one moment; what several asks have in common is found once, when it is first needed.
-class Prospects
+class WaitEstimates
 {
 public:
     /// @p refuseLate: whether asks are to be judged by their targets, and not by their deadlines alone.
-    Prospects(Base::Instant now, const EndpointStates &endpoints, const Placement &placement, bool refuseLate);
+    WaitEstimates(Base::Instant now, const EndpointStates &endpoints, const Placement &placement, bool refuseLate);
 
     /// Whether what is ahead of an ask tells anything about it.
-    bool dependOnOthers();
+    bool needQueueAhead();
 
-    Prospect of(const QueuedAsk &ask, const Ahead &ahead);
+    WaitEstimate forAsk(const QueuedAsk &ask, const QueueAhead &ahead);
 
 private:
-    Base::Duration lateness(const QueuedAsk &ask, const Ahead &ahead);
-    const std::optional<PooledPace> &pace();
+    Base::Duration latenessOf(const QueuedAsk &ask, const QueueAhead &ahead);
+    const std::optional<PooledRate> &rate();
     /// How long the rates of the endpoints keep an ask behind @p asks; zero if some endpoint limits none.
-    Base::Duration pacedWait(std::size_t asks);
+    Base::Duration rateLimitWait(std::size_t asks);
     /// How long no endpoint takes requests of @p home, as they have asked it.
-    Base::Duration restOf(std::uint64_t home);
+    Base::Duration remainingCooldown(std::uint64_t home);
 
     Base::Instant m_now;
     const EndpointStates &m_endpoints;
     const Placement &m_placement;
     bool m_refuseLate;
     std::vector<Candidate> m_usable;
-    std::optional<bool> m_allRest; ///< for some home
-    std::map<std::uint64_t, Base::Duration> m_rests; ///< by home
+    std::optional<bool> m_allHaveCooldowns; ///< for some home
+    std::map<std::uint64_t, Base::Duration> m_cooldowns; ///< by home
     std::map<int, LeastBacklog> m_leastBacklogs; ///< by rank
-    std::optional<std::optional<PooledPace>> m_pace;
+    std::optional<std::optional<PooledRate>> m_rate;
 };
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/window.cpp
+++ b/Source/Dispatch/window.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double decreaseFactor = 0.85;
-constexpr double mostOverSlots = 1.5;
+constexpr double maxSizeFactor = 1.5;
 constexpr double gapMargin = 1.0;
 /// Part of the first-token target that may pass at the endpoint. The rest is for this queue, which knows more about the
 /// requests than the endpoint's own does.
@@ -41,7 +41,7 @@
 
 AdaptiveWindow::AdaptiveWindow(std::uint32_t slots)
     : m_size(slots)
-    , m_most(mostOverSlots * slots)
+    , m_maxSize(maxSizeFactor * slots)
 {
 }
 
@@ -56,7 +56,7 @@
         return;
     }
     if (observation.windowWasFull) {
-        m_size = std::min(m_most, m_size + 1.0 / m_size);
+        m_size = std::min(m_maxSize, m_size + 1.0 / m_size);
     }
 }
 
--- a/Source/Dispatch/window.h
+++ b/Source/Dispatch/window.h
@@ -22,7 +22,7 @@
     Base::Duration gapTarget {};
     bool failed = false;
     bool windowWasFull = false; ///< when the run was granted or ended
-    bool answeredError = false; ///< it answered, but with an error: it lives, and other runs may do well
+    bool errorResponse = false; ///< it answered, but with an error: it lives, and other runs may do well
 };
 
 template<typename T>
@@ -58,7 +58,7 @@
 
 private:
     double m_size;
-    double m_most;
+    double m_maxSize;
     Base::Instant m_lastDecrease {};
 };
 
--- a/Source/Node/daemon.cpp
+++ b/Source/Node/daemon.cpp
@@ -101,7 +101,7 @@
                                                    .changed = [this] { viewChanged(); },
                                                    .memberGone =
                                                        [this](const std::string &member, std::uint64_t kept) {
-                                                           m_dispatcher.homeGone(Base::now(), member, kept);
+                                                           m_dispatcher.removeHome(Base::now(), member, kept);
                                                            settle();
                                                        },
                                                    .endpointsLeaving =
--- a/Source/Node/queries.cpp
+++ b/Source/Node/queries.cpp
@@ -225,13 +225,13 @@
 /// What an operator is told first of it.
 std::string_view Queries::stateOf(const Dispatch::EndpointView &view)
 {
-    if (view.saysItLeaves) {
+    if (view.announcedLeaving) {
         return "leaving";
     }
     if (view.drained) {
         return "drained";
     }
-    return view.rests ? "resting" : Base::nameOf(Dispatch::healthStateNames, view.health);
+    return view.coolingDown ? "resting" : Base::nameOf(Dispatch::healthStateNames, view.health);
 }
 
 Answer Queries::endpoints() const
@@ -256,7 +256,7 @@
                                    {"window", view.window},
                                    {"slots", endpoint->slots},
                                    {"first-token-ms", view.firstTokenMs},
-                                   {"pace-ms", view.paceMs},
+                                   {"pace-ms", view.interTokenLatencyMs},
                                    {"rate", view.ratePerSecond ? nlohmann::json(*view.ratePerSecond) : nlohmann::json("")},
                                    {"dispatcher", m_settings.name}});
         }
@@ -445,7 +445,7 @@
                  {"reason", reason},
                  {"detail",
                   fmt::format("{} running of a window of {}; first token {:.0f} ms, pace {:.1f} ms; {} asks wait in shard {:08x}",
-                              view.running, view.window, view.firstTokenMs, view.paceMs, shard.queued(), id)}});
+                              view.running, view.window, view.firstTokenMs, view.interTokenLatencyMs, shard.queued(), id)}});
         }
     }
     return answer;
@@ -466,10 +466,10 @@
         std::size_t late = 0;
         std::size_t above = 0;
         for (const Dispatch::QueuedAsk *ask : shard.queuedAsks()) {
-            const bool own = ask->terms.number == requestClass->number;
+            const bool own = ask->parameters.number == requestClass->number;
             waiting += own ? 1 : 0;
             late += own && ask->target() < now ? 1 : 0;
-            above += ask->terms.rank < requestClass->rank ? 1 : 0;
+            above += ask->parameters.rank < requestClass->rank ? 1 : 0;
         }
         std::size_t usable = 0;
         for (const Dispatch::EndpointView &view : shard.endpoints()) {
--- a/Source/Request/home.cpp
+++ b/Source/Request/home.cpp
@@ -237,7 +237,7 @@
         return;
     }
     const std::vector<std::uint64_t> &prefix = pending.request.prefix;
-    const std::uint64_t shared = prefix.empty() ? m_random() : Dispatch::sharedBeginning(prefix);
+    const std::uint64_t shared = prefix.empty() ? m_random() : Dispatch::sharedPrefix(prefix);
     std::set<std::uint32_t> closed = m_rates.closedAlone(now, shard->endpoints, std::max(m_hosts, leastHostsSharing), m_random);
     closed.merge(m_availabilities.closed(now));
     const auto endpoint = m_localWindow.choose(*shard, *m_catalogue, m_hosts, shared, closed);
--- a/Source/Request/localwindow.cpp
+++ b/Source/Request/localwindow.cpp
@@ -42,7 +42,7 @@
     };
     auto open = shard.endpoints | std::views::filter(hasRoom);
     const auto rank
-        = [&](std::uint32_t number) { return std::pair(running(number), ~Dispatch::preferenceWeight(number, shared)); };
+        = [&](std::uint32_t number) { return std::pair(running(number), ~Dispatch::rendezvousWeight(number, shared)); };
     const auto best = std::ranges::min_element(open, {}, rank);
     return best == open.end() ? std::nullopt : std::optional(*best);
 }
--- a/Source/Request/shardchoice.cpp
+++ b/Source/Request/shardchoice.cpp
@@ -29,7 +29,7 @@
 /// beginnings may have in common, each of a pool's shards came to read every one of them.
 std::uint64_t affinityOf(const NewRequest &request)
 {
-    return request.prefix.empty() ? Base::hash64(fmt::format("{}", request.id)) : Dispatch::sharedBeginning(request.prefix);
+    return request.prefix.empty() ? Base::hash64(fmt::format("{}", request.id)) : Dispatch::sharedPrefix(request.prefix);
 }
 
 } // namespace
--- a/Tests/Dispatch/healthtest.cpp
+++ b/Tests/Dispatch/healthtest.cpp
@@ -81,7 +81,7 @@
 TEST(Health, answeredErrorsAreFailingOnlyManyInARow)
 {
     Observation error = observation(20);
-    error.answeredError = true;
+    error.errorResponse = true;
     for (int run = 0; run < 20; ++run) {
         health.observe(run % 5 == 4 ? observation(20) : error);
         CHECK_FALSE(health.isFailing());
@@ -97,43 +97,43 @@
 TEST(Health, halfErrorsBesidePeersWithoutAreErring)
 {
     Observation error = observation(20);
-    error.answeredError = true;
+    error.errorResponse = true;
     for (int run = 0; run < 6; ++run) {
         health.observe(run % 2 == 0 ? error : observation(20));
     }
     CHECK_FALSE(health.isFailing());
-    CHECK_TRUE(health.isErring(0.0));
-    CHECK_FALSE(health.isErring(0.45));
-    CHECK_FALSE(health.isErring(std::nullopt));
+    CHECK_TRUE(health.hasHighErrorShare(0.0));
+    CHECK_FALSE(health.hasHighErrorShare(0.45));
+    CHECK_FALSE(health.hasHighErrorShare(std::nullopt));
 }
 
 TEST(Health, errorsThatAllAnswerAlikeAreNotErring)
 {
     Observation error = observation(20);
-    error.answeredError = true;
+    error.errorResponse = true;
     for (int run = 0; run < 70; ++run) {
         health.observe(run % 7 == 3 ? error : observation(20));
-        CHECK_FALSE(health.isErring(1.0 / 7));
+        CHECK_FALSE(health.hasHighErrorShare(1.0 / 7));
     }
 }
 
 TEST(Health, twoErrorsAreTooFewToTell)
 {
     Observation error = observation(20);
-    error.answeredError = true;
+    error.errorResponse = true;
     health.observe(error);
     health.observe(error);
-    CHECK_FALSE(health.isErring(0.0));
+    CHECK_FALSE(health.hasHighErrorShare(0.0));
 }
 
 TEST(Health, errorsBeforeAnEjectionAreForgotten)
 {
     Observation error = observation(20);
-    error.answeredError = true;
+    error.errorResponse = true;
     for (int run = 0; run < 10; ++run) {
         health.observe(error);
     }
     health.eject(at(0), std::chrono::seconds(30));
     health.tick(at(1));
-    CHECK_FALSE(health.isErring(0.0));
+    CHECK_FALSE(health.hasHighErrorShare(0.0));
 }
--- a/Tests/Dispatch/ordertest.cpp
+++ b/Tests/Dispatch/ordertest.cpp
@@ -22,8 +22,8 @@
     {
         QueuedAsk made;
         made.key = {1, {next++, 1}};
-        made.terms = {static_cast<std::uint32_t>(rank), rank, std::chrono::seconds(1), std::chrono::milliseconds(37),
-                      std::chrono::seconds(10)};
+        made.parameters = {static_cast<std::uint32_t>(rank), rank, std::chrono::seconds(1), std::chrono::milliseconds(37),
+                           std::chrono::seconds(10)};
         made.ask.organisation = organisation;
         made.weight = weight;
         made.arrival = at(arrival);
@@ -43,8 +43,8 @@
 {
     order.insert(ask(2, 0));
     order.insert(ask(1, 0.5));
-    CHECK_EQUAL(1, serve(0.6).terms.rank);
-    CHECK_EQUAL(2, serve(0.6).terms.rank);
+    CHECK_EQUAL(1, serve(0.6).parameters.rank);
+    CHECK_EQUAL(2, serve(0.6).parameters.rank);
 }
 
 TEST(Order, thoseThatCanStillMeetTheirTargetGoBeforeThoseThatCannot)
@@ -92,7 +92,7 @@
     }
     int low = 0;
     for (int index = 0; index < 100; ++index) {
-        low += serve(20.1).terms.rank == 3 ? 1 : 0;
+        low += serve(20.1).parameters.rank == 3 ? 1 : 0;
     }
     CHECK_TRUE(low >= 8 && low <= 11);
 }
@@ -104,9 +104,9 @@
     order.insert(ask(1, 0));
     order.insert(second);
     order.insert(first);
-    CHECK_TRUE(order.victim(ask(1, 3)) == first.key);
+    CHECK_TRUE(order.evictionCandidate(ask(1, 3)) == first.key);
     const QueuedAsk lower = ask(4, 3);
-    CHECK_TRUE(order.victim(lower) == lower.key);
+    CHECK_TRUE(order.evictionCandidate(lower) == lower.key);
 }
 
 TEST(Order, removedAskIsNeverServed)
--- a/Tests/Dispatch/placementtest.cpp
+++ b/Tests/Dispatch/placementtest.cpp
@@ -26,9 +26,9 @@
         made.ask.prefixTokens = {13'000, 17'000};
         made.ask.promptTokens = 17'000;
         made.ask.expectedTokens = 100;
-        made.terms.rank = rank;
-        made.terms.firstToken = std::chrono::seconds(2);
-        made.terms.tightestAbove = rank > 1 ? std::chrono::milliseconds(1500) : std::chrono::milliseconds(0);
+        made.parameters.rank = rank;
+        made.parameters.firstToken = std::chrono::seconds(2);
+        made.parameters.tightestAbove = rank > 1 ? std::chrono::milliseconds(1500) : std::chrono::milliseconds(0);
         made.arrival = at(0);
         return made;
     }
@@ -36,7 +36,7 @@
     std::uint32_t place(const QueuedAsk &placed, double now)
     {
         const std::uint32_t endpoint = placement.choose(placed, engines, at(now)).value();
-        placement.placed(placed, *std::ranges::find(engines, endpoint, &Candidate::endpoint), at(now));
+        placement.recordPlacement(placed, *std::ranges::find(engines, endpoint, &Candidate::endpoint), at(now));
         return endpoint;
     }
 };
@@ -62,7 +62,7 @@
 {
     for (std::uint64_t shared = 1; shared <= 3; ++shared) {
         for (Candidate &engine : engines) {
-            placement.placed(ask(100 * shared + engine.endpoint, 1, 3), engine, at(0));
+            placement.recordPlacement(ask(100 * shared + engine.endpoint, 1, 3), engine, at(0));
         }
     }
     CHECK_FALSE(placement.choose(ask(9, 9, 3), engines, at(0.01)).has_value());
@@ -79,23 +79,23 @@
 
 TEST(SoonestFirstToken, whatIsExpectedGrowsWithTheWorkBefore)
 {
-    const Base::Duration idle = placement.expected(ask(5, 5), engines, at(0));
+    const Base::Duration idle = placement.expectedFirstToken(ask(5, 5), engines, at(0));
     for (const Candidate &engine : engines) {
-        placement.placed(ask(50 + engine.endpoint, 1), engine, at(0));
+        placement.recordPlacement(ask(50 + engine.endpoint, 1), engine, at(0));
     }
-    CHECK_TRUE(placement.expected(ask(5, 5), engines, at(0)) > idle);
+    CHECK_TRUE(placement.expectedFirstToken(ask(5, 5), engines, at(0)) > idle);
 }
 
 TEST(SoonestFirstToken, whatGaveWayInMemoryCountsAsUnread)
 {
     engines = {{1, 0, 64, 60'000}};
-    const PlacedRun first = placement.placed(ask(1, 100), engines.front(), at(0));
-    placement.ended(first, {});
-    CHECK_EQUAL(4'000U, placement.placed(ask(1, 101), engines.front(), at(1)).unread);
+    const PlacedRun first = placement.recordPlacement(ask(1, 100), engines.front(), at(0));
+    placement.recordEnd(first, {});
+    CHECK_EQUAL(4'000U, placement.recordPlacement(ask(1, 101), engines.front(), at(1)).prefillTokens);
     for (std::uint64_t other = 2; other < 8; ++other) {
-        placement.ended(placement.placed(ask(other, 100 + other), engines.front(), at(2)), {});
+        placement.recordEnd(placement.recordPlacement(ask(other, 100 + other), engines.front(), at(2)), {});
     }
-    CHECK_EQUAL(17'000U, placement.placed(ask(1, 110), engines.front(), at(3)).unread);
+    CHECK_EQUAL(17'000U, placement.recordPlacement(ask(1, 110), engines.front(), at(3)).prefillTokens);
 }
 
 TEST(SoonestFirstToken, partsThatSumToMoreThanThePromptTakeNoMoreThanItsMemory)
@@ -103,25 +103,25 @@
     QueuedAsk malformed = ask(1, 1);
     malformed.ask.prefixTokens = {90'000, 4'000'000'000U};
     place(malformed, 0);
-    const PlacedRun again = placement.placed(malformed, engines.front(), at(1));
-    CHECK_TRUE(again.tokens <= 17'100U);
+    const PlacedRun again = placement.recordPlacement(malformed, engines.front(), at(1));
+    CHECK_TRUE(again.kvTokens <= 17'100U);
     CHECK_TRUE(placement.choose(ask(2, 2), engines, at(5)).has_value());
     CHECK_TRUE(placement.choose(malformed, engines, at(5)).has_value());
 }
 
 TEST(SoonestFirstToken, whatAnEndedRunLeftUnreadIsNotWaitedFor)
 {
-    const Base::Duration idle = placement.expected(ask(5, 500), engines, at(0));
+    const Base::Duration idle = placement.expectedFirstToken(ask(5, 500), engines, at(0));
     std::vector<PlacedRun> runs;
     for (const Candidate &engine : engines) {
-        runs.push_back(placement.placed(ask(50 + engine.endpoint, 501), engine, at(0)));
-        runs.push_back(placement.placed(ask(60 + engine.endpoint, 502, 2), engine, at(0)));
+        runs.push_back(placement.recordPlacement(ask(50 + engine.endpoint, 501), engine, at(0)));
+        runs.push_back(placement.recordPlacement(ask(60 + engine.endpoint, 502, 2), engine, at(0)));
     }
-    CHECK_TRUE(placement.expected(ask(5, 500, 2), engines, at(0.01)) > idle);
+    CHECK_TRUE(placement.expectedFirstToken(ask(5, 500, 2), engines, at(0.01)) > idle);
     for (const PlacedRun &run : runs) {
-        placement.ended(run, {});
+        placement.recordEnd(run, {});
     }
-    CHECK_TRUE(placement.expected(ask(5, 500, 2), engines, at(0.01)) == idle);
+    CHECK_TRUE(placement.expectedFirstToken(ask(5, 500, 2), engines, at(0.01)) == idle);
 }
 
 /// Engines that can take kept prompts from each other.
@@ -129,47 +129,47 @@
                 TEST_GROUP_CppUTestGroupSoonestFirstToken) {void setup() override {for (Candidate & engine
                                                                                         : engines) {engine.movedTokensPerMs = 300;
 }
-placement.ended(placement.placed(ask(1, 100), engines[0], at(0)), {});
+placement.recordEnd(placement.recordPlacement(ask(1, 100), engines[0], at(0)), {});
 }
 }
 ;
 
 TEST(MovingPrompts, anEngineTakesASharedPartFromTheOneThatKeepsIt)
 {
-    const PlacedRun run = placement.placed(ask(1, 101), engines[1], at(5));
+    const PlacedRun run = placement.recordPlacement(ask(1, 101), engines[1], at(5));
     CHECK_EQUAL(1U, run.keeper);
-    CHECK_EQUAL(4'000U, run.unread);
+    CHECK_EQUAL(4'000U, run.prefillTokens);
     // What it has taken it keeps as well, and lends.
-    CHECK_EQUAL(0U, placement.placed(ask(1, 102), engines[1], at(10)).keeper);
-    placement.forget(1);
-    CHECK_EQUAL(2U, placement.placed(ask(1, 103), engines[2], at(15)).keeper);
+    CHECK_EQUAL(0U, placement.recordPlacement(ask(1, 102), engines[1], at(10)).keeper);
+    placement.removeEndpoint(1);
+    CHECK_EQUAL(2U, placement.recordPlacement(ask(1, 103), engines[2], at(15)).keeper);
 }
 
 TEST(MovingPrompts, nothingIsTakenBeforeItHasBeenRead)
 {
-    CHECK_EQUAL(0U, placement.placed(ask(1, 101), engines[1], at(0.01)).keeper);
+    CHECK_EQUAL(0U, placement.recordPlacement(ask(1, 101), engines[1], at(0.01)).keeper);
 }
 
 TEST(MovingPrompts, nothingIsTakenFromAnEngineThatFailsOrLeaves)
 {
-    placement.distrust(1);
-    CHECK_EQUAL(0U, placement.placed(ask(1, 101), engines[1], at(5)).keeper);
+    placement.markUnreliable(1);
+    CHECK_EQUAL(0U, placement.recordPlacement(ask(1, 101), engines[1], at(5)).keeper);
 }
 
 TEST(MovingPrompts, aRunThatDidWellSinceWinsTrustBackAndAnEarlierOneDoesNot)
 {
-    const PlacedRun before = placement.placed(ask(1, 100), engines[0], at(1));
-    placement.distrust(1);
-    placement.ended(before, {std::chrono::milliseconds(100), {}});
-    CHECK_EQUAL(0U, placement.placed(ask(1, 101), engines[1], at(5)).keeper);
-    placement.ended(placement.placed(ask(1, 102), engines[0], at(6)), {std::chrono::milliseconds(100), {}});
-    CHECK_EQUAL(1U, placement.placed(ask(1, 103), engines[2], at(10)).keeper);
+    const PlacedRun before = placement.recordPlacement(ask(1, 100), engines[0], at(1));
+    placement.markUnreliable(1);
+    placement.recordEnd(before, {std::chrono::milliseconds(100), {}});
+    CHECK_EQUAL(0U, placement.recordPlacement(ask(1, 101), engines[1], at(5)).keeper);
+    placement.recordEnd(placement.recordPlacement(ask(1, 102), engines[0], at(6)), {std::chrono::milliseconds(100), {}});
+    CHECK_EQUAL(1U, placement.recordPlacement(ask(1, 103), engines[2], at(10)).keeper);
 }
 
 TEST(MovingPrompts, whatIsTakenNeedsRoomInMemory)
 {
     engines = {{1, 0, 64, 500'000, 300}, {2, 0, 64, 40'000, 300}};
-    placement.placed(ask(2, 200), engines[1], at(5));
+    placement.recordPlacement(ask(2, 200), engines[1], at(5));
     // 17,100 of at most 30,000 tokens are taken up there; the first part alone has 13,000.
     QueuedAsk more = ask(1, 101);
     more.ask.expectedTokens = 50;
@@ -183,9 +183,9 @@
     for (Candidate &engine : engines) {
         engine.movedTokensPerMs = 10;
     }
-    CHECK_EQUAL(0U, placement.placed(ask(1, 101), engines[1], at(5)).keeper);
+    CHECK_EQUAL(0U, placement.recordPlacement(ask(1, 101), engines[1], at(5)).keeper);
     engines[1].movedTokensPerMs = 0;
-    CHECK_EQUAL(0U, placement.placed(ask(1, 101), engines[1], at(5)).keeper);
+    CHECK_EQUAL(0U, placement.recordPlacement(ask(1, 101), engines[1], at(5)).keeper);
 }
 
 TEST(MovingPrompts, thoseThatShareAPartNeedNotQueueWhereItIsKept)
@@ -202,23 +202,23 @@
                 TEST_GROUP_CppUTestGroupSoonestFirstToken) {QueuedAsk tight(std::uint64_t own) {QueuedAsk made = ask(own, own);
 made.ask.promptTokens = 100;
 made.ask.prefixTokens = {50, 100};
-made.terms.tokenGap = std::chrono::milliseconds(200);
+made.parameters.tokenGap = std::chrono::milliseconds(200);
 return made;
 }
 
 QueuedAsk longRead(std::uint64_t own)
 {
     QueuedAsk made = ask(own, own);
-    made.terms.tokenGap = std::chrono::seconds(5);
+    made.parameters.tokenGap = std::chrono::seconds(5);
     return made;
 }
 
 /// Shows on @p engine that reading makes pauses of half a second.
 void showPauses(const Candidate &engine, double now)
 {
-    const PlacedRun run = placement.placed(tight(50), engine, at(now));
-    placement.ended(placement.placed(longRead(51), engine, at(now)), {});
-    placement.ended(run, {std::chrono::milliseconds(10), {std::chrono::milliseconds(20), std::chrono::milliseconds(500)}});
+    const PlacedRun run = placement.recordPlacement(tight(50), engine, at(now));
+    placement.recordEnd(placement.recordPlacement(longRead(51), engine, at(now)), {});
+    placement.recordEnd(run, {std::chrono::milliseconds(10), {std::chrono::milliseconds(20), std::chrono::milliseconds(500)}});
 }
 }
 ;
@@ -227,8 +227,8 @@
 {
     showPauses(engines[0], 0);
     for (std::uint64_t own = 60; own < 63; ++own) {
-        placement.placed(tight(own), engines[0], at(60));
-        placement.placed(tight(own), engines[1], at(60));
+        placement.recordPlacement(tight(own), engines[0], at(60));
+        placement.recordPlacement(tight(own), engines[1], at(60));
     }
     for (std::uint64_t own = 70; own < 90; ++own) {
         CHECK_EQUAL(3U, placement.choose(longRead(own), engines, at(70)).value());
@@ -238,8 +238,8 @@
 TEST(PausesOfStreams, aTightStreamGoesWhereLittleWasReadLately)
 {
     showPauses(engines[0], 0);
-    placement.placed(longRead(52), engines[0], at(60));
-    placement.placed(longRead(53), engines[1], at(60));
+    placement.recordPlacement(longRead(52), engines[0], at(60));
+    placement.recordPlacement(longRead(53), engines[1], at(60));
     for (std::uint64_t own = 70; own < 90; ++own) {
         CHECK_EQUAL(3U, placement.choose(tight(own), engines, at(61)).value());
     }
@@ -248,7 +248,7 @@
 TEST(PausesOfStreams, withoutPausesSeenLongReadsGoToAllEngines)
 {
     std::set<std::uint32_t> used;
-    placement.placed(tight(60), engines[0], at(60));
+    placement.recordPlacement(tight(60), engines[0], at(60));
     for (std::uint64_t own = 70; own < 90; ++own) {
         used.insert(placement.choose(longRead(own), engines, at(70)).value());
     }
@@ -259,14 +259,14 @@
 {
     const std::span<const Candidate> all(engines);
     const auto expectedAt = [&](std::size_t index, std::uint64_t own) {
-        return Base::milliseconds(placement.expected(ask(own, own), all.subspan(index, 1), at(500)));
+        return Base::milliseconds(placement.expectedFirstToken(ask(own, own), all.subspan(index, 1), at(500)));
     };
     for (std::uint64_t run = 0; run < 40; ++run) {
         for (const Candidate &engine : engines) {
             const double first = engine.endpoint == 3 ? 2.0 : 0.5;
             const double now = static_cast<double>(run) * 3;
-            const PlacedRun placed = placement.placed(ask(1000 + 10 * run + engine.endpoint, 1), engine, at(now));
-            placement.ended(placed, {at(first) - at(0), {}});
+            const PlacedRun placed = placement.recordPlacement(ask(1000 + 10 * run + engine.endpoint, 1), engine, at(now));
+            placement.recordEnd(placed, {at(first) - at(0), {}});
         }
     }
     DOUBLES_EQUAL(expectedAt(0, 5000), expectedAt(1, 5000), 1.0);
--- a/Tests/Dispatch/randomtest.cpp
+++ b/Tests/Dispatch/randomtest.cpp
@@ -106,7 +106,7 @@
         return m_open.size();
     }
 
-    std::uint64_t ended() const
+    std::uint64_t recordEnd() const
     {
         return m_ended;
     }
@@ -182,7 +182,7 @@
         member->state = MemberState::Alive;
         entry = makeHost(*member);
         for (auto &[other, theirs] : m_hosts) {
-            theirs.dispatcher->homeGone(m_now, host, member->incarnation);
+            theirs.dispatcher->removeHome(m_now, host, member->incarnation);
             collect(other);
         }
         showView(host);
@@ -332,8 +332,8 @@
             world.step();
         }
         world.settle();
-        fmt::print("seed {}: {} steps, {} requests ended, {} runs\n", seed, steps, world.ended(), world.runs());
+        fmt::print("seed {}: {} steps, {} requests ended, {} runs\n", seed, steps, world.recordEnd(), world.runs());
         CHECK_EQUAL(0U, world.open());
-        CHECK_TRUE(world.ended() > 1000);
+        CHECK_TRUE(world.recordEnd() > 1000);
     }
 }
--- a/Tests/Dispatch/shardtest.cpp
+++ b/Tests/Dispatch/shardtest.cpp
@@ -165,7 +165,7 @@
     for (int index = 0; index < 5; ++index) {
         ask("alert", 0);
     }
-    shard->homeGone(at(1), "h1", 0);
+    shard->removeHome(at(1), "h1", 0);
     CHECK_EQUAL(0U, shard->permits());
     CHECK_EQUAL(0U, shard->queued());
 }
@@ -175,7 +175,7 @@
     ask("alert", 0);
     home.incarnation = 8;
     ask("alert", 0);
-    shard->homeGone(at(1), "h1", 8);
+    shard->removeHome(at(1), "h1", 8);
     CHECK_EQUAL(1U, shard->permits());
 }
 
@@ -368,7 +368,7 @@
 TEST(ShardInABurst, whatWaitsCostsFewLooksAnEvent)
 {
     fillQueue(0);
-    const std::uint64_t before = shard->counters().looks;
+    const std::uint64_t before = shard->counters().evaluations;
     const std::uint64_t grantedBefore = shard->counters().granted;
     constexpr std::uint64_t events = 50;
     constexpr std::uint64_t mostInVain = 4;
@@ -376,16 +376,16 @@
         end(index, 0.001);
     }
     const std::uint64_t granted = shard->counters().granted - grantedBefore;
-    CHECK_TRUE(shard->counters().looks - before <= events * mostInVain + granted);
+    CHECK_TRUE(shard->counters().evaluations - before <= events * mostInVain + granted);
 }
 
 /// At a tick more are looked at, so that an ask far behind finds the engine that keeps its prompt.
 TEST(ShardInABurst, aTickLooksFurther)
 {
     fillQueue(0);
-    const std::uint64_t before = shard->counters().looks;
+    const std::uint64_t before = shard->counters().evaluations;
     shard->tick(at(0.001));
-    CHECK_TRUE(shard->counters().looks - before >= 24);
+    CHECK_TRUE(shard->counters().evaluations - before >= 24);
 }
 
 /// The class that waits holds up no other: the short prompts of the tier above are read before what the engines have.
@@ -410,7 +410,7 @@
 
 TEST(Shard, anEndpointThatLimitsItsRateGetsNoMoreAndItsNeighbourTheRest)
 {
-    shard->hearEndpoint(at(0), home, {1, endpoint("e1"), {Rate::Knowledge::Limited, 1, {}}});
+    shard->applyEndpointUpdate(at(0), home, {1, endpoint("e1"), {Rate::Knowledge::Limited, 1, {}}});
     std::uint32_t limited = 0;
     std::uint32_t others = 0;
     for (int index = 0; index < 200; ++index) {
@@ -431,7 +431,7 @@
 TEST(Shard, whereAllLimitTheirRateWhatCannotBeginInTimeIsRefusedAtOnceAndToldWhenToComeBack)
 {
     for (const char *name : {"e1", "e2"}) {
-        shard->hearEndpoint(at(0), home, {1, endpoint(name), {Rate::Knowledge::Limited, 0.5, {}}});
+        shard->applyEndpointUpdate(at(0), home, {1, endpoint(name), {Rate::Knowledge::Limited, 0.5, {}}});
     }
     // One a second: those from the twentieth on would begin after their deadline.
     for (int index = 0; index < 30; ++index) {
@@ -449,7 +449,7 @@
 {
     build("create setting refuse-late value yes\n");
     for (const char *name : {"e1", "e2"}) {
-        shard->hearEndpoint(at(0), home, {1, endpoint(name), {Rate::Knowledge::Limited, 0.5, {}}});
+        shard->applyEndpointUpdate(at(0), home, {1, endpoint(name), {Rate::Knowledge::Limited, 0.5, {}}});
     }
     Peer::Ask brief;
     brief.id = {next++, 1};
@@ -471,11 +471,11 @@
 TEST(Shard, theEndOfALimitLetsWhatWaitsBegin)
 {
     for (const char *name : {"e1", "e2"}) {
-        shard->hearEndpoint(at(0), home, {1, endpoint(name), {Rate::Knowledge::Limited, 0, {}}});
+        shard->applyEndpointUpdate(at(0), home, {1, endpoint(name), {Rate::Knowledge::Limited, 0, {}}});
     }
     ask("alert", 0);
     CHECK_EQUAL(0U, replies<Peer::Grant>().size());
-    shard->hearEndpoint(at(1), home, {1, endpoint("e1"), {Rate::Knowledge::Unlimited, 0, std::chrono::milliseconds(100)}});
+    shard->applyEndpointUpdate(at(1), home, {1, endpoint("e1"), {Rate::Knowledge::Unlimited, 0, std::chrono::milliseconds(100)}});
     CHECK_EQUAL(1U, replies<Peer::Grant>().size());
 }
 
@@ -483,15 +483,15 @@
 {
     Home other {"h2", 8};
 
-    void tellLeaving(std::string_view name, double now)
+    void announceLeaving(std::string_view name, double now)
     {
-        shard->hearEndpoint(at(now), home, {1, endpoint(name), {}, {.leavesFor = std::chrono::seconds(60)}});
+        shard->applyEndpointUpdate(at(now), home, {1, endpoint(name), {}, {.leavesFor = std::chrono::seconds(60)}});
     }
 
     /// A run of @p of at the endpoint called @p name is turned away, and the home asked for @p rest.
-    void turnAway(std::string_view name, double now, Base::Duration rest, const Home &of)
+    void reject(std::string_view name, double now, Base::Duration cooldown, const Home &of)
     {
-        shard->hearEndpoint(at(now), of, {1, endpoint(name), {}, {.restsFor = rest}});
+        shard->applyEndpointUpdate(at(now), of, {1, endpoint(name), {}, {.restsFor = cooldown}});
         shard->release(at(now), of, {{next++, 1}, 1, endpoint(name), Peer::RunResult::Refused});
     }
 
@@ -507,16 +507,16 @@
 
 TEST(ShardAvailability, whatSaysThatItLeavesGetsNothingOfAnyHome)
 {
-    tellLeaving("e1", 0);
+    announceLeaving("e1", 0);
     for (int index = 0; index < 6; ++index) {
         ask("alert", 0);
     }
     const auto endpoints = granted();
     CHECK_TRUE(endpoints.contains(endpoint("e2")) && !endpoints.contains(endpoint("e1")));
     shard->tick(at(59.9));
-    CHECK_TRUE(shard->endpoints().front().saysItLeaves || shard->endpoints().back().saysItLeaves);
+    CHECK_TRUE(shard->endpoints().front().announcedLeaving || shard->endpoints().back().announcedLeaving);
     shard->tick(at(60));
-    CHECK_FALSE(shard->endpoints().front().saysItLeaves || shard->endpoints().back().saysItLeaves);
+    CHECK_FALSE(shard->endpoints().front().announcedLeaving || shard->endpoints().back().announcedLeaving);
 }
 
 TEST(ShardAvailability, whereAllSayThatTheyLeaveWhatWaitsIsRefusedAtOnce)
@@ -525,16 +525,16 @@
         ask("alert", 0);
     }
     CHECK_TRUE(shard->queued() > 0);
-    tellLeaving("e1", 0.1);
-    tellLeaving("e2", 0.1);
+    announceLeaving("e1", 0.1);
+    announceLeaving("e2", 0.1);
     CHECK_EQUAL(0U, shard->queued());
     CHECK_TRUE(replies<Peer::Refusal>().front().reason == RefusalReason::NoEndpoint);
 }
 
 TEST(ShardAvailability, whatRestsForOneHomeTakesAnothersRequests)
 {
-    turnAway("e1", 0, std::chrono::seconds(3), home);
-    turnAway("e2", 0, std::chrono::seconds(3), other);
+    reject("e1", 0, std::chrono::seconds(3), home);
+    reject("e2", 0, std::chrono::seconds(3), other);
     for (int index = 0; index < 3; ++index) {
         ask("alert", 0.1);
     }
@@ -545,25 +545,25 @@
 /// Guards against a refusal that tells a time at which all is as it was, and against requests that wait for a rest in vain.
 TEST(ShardAvailability, whereAllRestWhatCannotBeginInTimeIsRefusedAtOnceAndToldWhenToComeBack)
 {
-    turnAway("e1", 0, std::chrono::seconds(30), home);
-    turnAway("e2", 0, std::chrono::seconds(25), home);
-    std::set<Base::Duration> told;
+    reject("e1", 0, std::chrono::seconds(30), home);
+    reject("e2", 0, std::chrono::seconds(25), home);
+    std::set<Base::Duration> retryTimes;
     for (int index = 0; index < 5; ++index) {
         ask("alert", 0);
     }
     for (const Peer::Refusal &refusal : replies<Peer::Refusal>()) {
         CHECK_TRUE(refusal.reason == RefusalReason::TooLate);
         CHECK_TRUE(refusal.retryAfter > std::chrono::seconds(25) && refusal.retryAfter < std::chrono::seconds(26));
-        told.insert(refusal.retryAfter);
+        retryTimes.insert(refusal.retryAfter);
     }
-    CHECK_EQUAL(5U, told.size());
+    CHECK_EQUAL(5U, retryTimes.size());
     CHECK_EQUAL(0U, shard->queued());
 }
 
 TEST(ShardAvailability, whatCanWaitForTheEndOfARestBeginsThen)
 {
-    turnAway("e1", 0, std::chrono::seconds(3), home);
-    turnAway("e2", 0, std::chrono::seconds(4), home);
+    reject("e1", 0, std::chrono::seconds(3), home);
+    reject("e2", 0, std::chrono::seconds(4), home);
     ask("alert", 0);
     shard->tick(at(2.9));
     CHECK_EQUAL(0U, granted().size());
@@ -576,7 +576,7 @@
 TEST(ShardAvailability, whatTurnsAwayOneAfterTheOtherGetsNothingOfAnyHomeUntilItsRestEnds)
 {
     for (std::uint64_t number = 1; number <= 3; ++number) {
-        turnAway("e1", 0, std::chrono::seconds(3), {"h" + std::to_string(number + 1), number + 10});
+        reject("e1", 0, std::chrono::seconds(3), {"h" + std::to_string(number + 1), number + 10});
     }
     for (int index = 0; index < 3; ++index) {
         ask("alert", 0.1);
@@ -587,22 +587,22 @@
 /// Guards against an endpoint of short runs that is held for full for good: its runs end before a refusal would have come.
 TEST(ShardAvailability, aRunThatEndsSoonEndsTheRowOfRefusals)
 {
-    turnAway("e1", 0, std::chrono::seconds(1), other);
-    turnAway("e1", 0, std::chrono::seconds(1), other);
+    reject("e1", 0, std::chrono::seconds(1), other);
+    reject("e1", 0, std::chrono::seconds(1), other);
     while (shard->queued() == 0) {
         ask("alert", 0);
     }
     for (const Peer::Grant &grant : replies<Peer::Grant>()) {
         release(grant, 0.03);
     }
-    turnAway("e1", 0.1, std::chrono::seconds(1), other);
-    CHECK_TRUE(std::ranges::none_of(shard->endpoints(), &EndpointView::rests));
+    reject("e1", 0.1, std::chrono::seconds(1), other);
+    CHECK_TRUE(std::ranges::none_of(shard->endpoints(), &EndpointView::coolingDown));
 }
 
 /// Guards against an ask that waits for a rest to end though the endpoint of its failed try would take it.
 TEST(ShardAvailability, theEndpointOfAFailedTryIsUsedWhereAllOthersRest)
 {
-    turnAway("e2", 0, std::chrono::seconds(3), home);
+    reject("e2", 0, std::chrono::seconds(3), home);
     Peer::Ask again;
     again.id = {next++, 2};
     again.shard = 1;
