--- a/Source/Dispatch/endpointstates.cpp
+++ b/Source/Dispatch/endpointstates.cpp
@@ -66,7 +66,7 @@
         }
         // The slots of an endpoint that limits its rate are not there to be filled.
         const double startsPerSecond
-            = state.rateLimiter.isLimited() ? std::ceil(Rate::pacedRate(state.rateLimiter.known())) : state.windowSize();
+            = state.rateLimiter.isLimited() ? std::ceil(Rate::enforcedRate(state.rateLimiter.rate())) : state.windowSize();
         return std::size_t {std::min(state.windowSize(), static_cast<std::uint32_t>(startsPerSecond))};
     });
 }
@@ -153,7 +153,7 @@
             return std::nullopt;
         }
         pooled.left += state.rateLimiter.left(now);
-        pooled.perSecond += Rate::pacedRate(state.rateLimiter.known());
+        pooled.perSecond += Rate::enforcedRate(state.rateLimiter.rate());
     }
     return pooled.perSecond > 0 ? std::optional(pooled) : std::nullopt;
 }
@@ -163,7 +163,7 @@
     std::vector<EndpointView> views;
     views.reserve(endpoints.size());
     for (const auto &[number, state] : endpoints) {
-        const Rate::KnownRate &rate = state.rateLimiter.known();
+        const Rate::RateState &rate = state.rateLimiter.rate();
         views.push_back({number, state.running, state.windowSize(), state.health.state(), !state.isUsable(),
                          state.announcedLeaving, state.cooldowns.coversAllHomes(),
                          Base::milliseconds(state.health.firstToken().value_or(Duration::zero())),
--- a/Source/Dispatch/endpointstates.h
+++ b/Source/Dispatch/endpointstates.h
@@ -11,7 +11,7 @@
 #include "Dispatch/health.h"
 #include "Dispatch/placement.h"
 #include "Dispatch/window.h"
-#include "Rate/pace.h"
+#include "Rate/ratelimiter.h"
 
 #include <cstdint>
 #include <map>
@@ -51,7 +51,7 @@
     bool replaced = false; ///< another endpoint answers at its address; its name does not come back
     Base::Instant leavingUntil {}; ///< as its answers say
     bool announcedLeaving = false;
-    Rate::Pace rateLimiter;
+    Rate::RateLimiter rateLimiter;
     Cooldowns cooldowns;
 
     /// Whether it may get work, whatever its health.
--- a/Source/Dispatch/shard.cpp
+++ b/Source/Dispatch/shard.cpp
@@ -147,7 +147,7 @@
         const auto [entry, added] = m_endpoints.try_emplace(number);
         EndpointState &state = entry->second;
         if (added) {
-            state.rateLimiter = Rate::Pace(now + sharedRatePeriod);
+            state.rateLimiter = Rate::RateLimiter(now + sharedRatePeriod);
         }
         if (state.slots != endpoint->slots) {
             state.slots = endpoint->slots;
@@ -465,7 +465,7 @@
     if (release.result == RunResult::Refused) {
         recordRejectedRun(now, home, release.endpoint);
     }
-    if (release.result == RunResult::Gone) {
+    if (release.result == RunResult::EndpointReplaced) {
         markReplaced(release.endpoint);
     }
     dispatchQueued(now, maxSkippedPerEvent);
@@ -519,19 +519,19 @@
 /// has from the homes: those whose runs were told, and those that know better than a grant that comes to them.
 void Shard::applyRateUpdate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
 {
-    const Rate::KnownRate before = state.rateLimiter.known();
-    if (state.rateLimiter.hear(now, Rate::knownFrom(news.rate, now))) {
-        Rate::logChange(news.endpoint, before, state.rateLimiter.known(), home.name);
+    const Rate::RateState before = state.rateLimiter.rate();
+    if (state.rateLimiter.applyUpdate(now, Rate::rateStateFrom(news.rate, now))) {
+        Rate::logChange(news.endpoint, before, state.rateLimiter.rate(), home.name);
         dispatchQueued(now, maxSkippedPerEvent);
     }
 }
 
 void Shard::applyLeavingUpdate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
 {
-    if (news.availability.leavesFor == Duration::zero()) {
+    if (news.availability.leavingFor == Duration::zero()) {
         return;
     }
-    state.leavingUntil = std::max(state.leavingUntil, now + news.availability.leavesFor);
+    state.leavingUntil = std::max(state.leavingUntil, now + news.availability.leavingFor);
     if (!std::exchange(state.announcedLeaving, true)) {
         Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaves, {{"endpoint", news.endpoint}, {"source", home.name}});
         markUnusableUnreliable();
@@ -541,15 +541,15 @@
 
 void Shard::applyCooldownUpdate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
 {
-    if (news.availability.restsFor == Duration::zero()) {
+    if (news.availability.cooldownFor == Duration::zero()) {
         return;
     }
     Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointRests,
               {{"endpoint", news.endpoint},
-               {"for-ms", Base::milliseconds(news.availability.restsFor)},
+               {"for-ms", Base::milliseconds(news.availability.cooldownFor)},
                {"rested", !state.cooldowns.allows(now, home.incarnation)},
                {"source", home.name}});
-    state.cooldowns.startFor(home.incarnation, now + news.availability.restsFor);
+    state.cooldowns.startFor(home.incarnation, now + news.availability.cooldownFor);
     m_coolingDown.insert(news.endpoint);
 }
 
@@ -772,7 +772,7 @@
     Base::require(state.isUsable(), Base::Invariant::LeavingGetsNothing);
     Base::require(!m_permits.contains(ask.key), Base::Invariant::AnsweredOnce);
     ++state.running;
-    const Rate::RateWord rate = state.rateLimiter.known().word(now);
+    const Rate::RateInfo rate = state.rateLimiter.rate().info(now);
     state.rateLimiter.spend(now);
     state.cooldowns.recordGrant(now);
     // The home's clock runs as fast as this one, so that the time waited here can be added to the time it sent the ask.
--- a/Source/Node/frontend.cpp
+++ b/Source/Node/frontend.cpp
@@ -281,15 +281,15 @@
         refuse(call.id, makeError(ErrorKind::InProgress, "the operation is under way; ask again later, or send Prefer: wait"),
                Outcome::Unknown);
         return;
-    case OperationState::Held: {
-        Http::Response response = m_operations.answer(admitted.organisation, admitted.operationKey);
+    case OperationState::ResponseStored: {
+        Http::Response response = m_operations.storedResponse(admitted.organisation, admitted.operationKey);
         response.headers.push_back({"yokepond-request", requestName(call.id)});
         response.headers.push_back({"yokepond-outcome", "completed"});
         response.headers.push_back({"yokepond-replayed", "yes"});
         answer(call.id, std::move(response));
         return;
     }
-    case OperationState::NotHeld:
+    case OperationState::ResponseDropped:
         refuse(call.id, makeError(ErrorKind::AnswerNotHeld, "the operation completed; its answer is no longer held"),
                Outcome::Completed);
         return;
@@ -340,7 +340,7 @@
     }
     if (ticket->home == m_settings.name && ticket->incarnation == m_incarnation) {
         const bool unused = m_unusedTickets.erase(ticket->number) > 0;
-        if (!unused && !m_operations.knows(admitted.organisation, admitted.operationKey)) {
+        if (!unused && !m_operations.contains(admitted.organisation, admitted.operationKey)) {
             // Used or expired long ago: what became of it is in the table, if anywhere.
             respondFromJournal(operationCall(admitted));
             return;
@@ -357,7 +357,7 @@
 
 void Frontend::startWithClaim(const CallArrived &call, AdmittedRequest admitted)
 {
-    if (m_operations.knows(admitted.organisation, admitted.operationKey)) {
+    if (m_operations.contains(admitted.organisation, admitted.operationKey)) {
         startOperation(call, std::move(admitted));
         return;
     }
@@ -368,7 +368,7 @@
         key, bodyDigest,
         [this, call, admitted = std::move(admitted)](Request::ClaimResult result, const OperationRecord &record) mutable {
             const bool callerConnected = m_claiming.erase(call.id) > 0;
-            if (result == Request::ClaimResult::Unavailable || (result == Request::ClaimResult::Mine && !callerConnected)) {
+            if (result == Request::ClaimResult::Unavailable || (result == Request::ClaimResult::Acquired && !callerConnected)) {
                 // The claim may stand in the table, or come to stand there; its token tells later that nothing ran under it.
                 if (m_abandonedClaims.size() < maxAbandonedClaims) {
                     m_abandonedClaims.insert(record.token);
@@ -378,11 +378,11 @@
                 return;
             }
             switch (result) {
-            case Request::ClaimResult::Mine:
+            case Request::ClaimResult::Acquired:
                 admitted.record = record;
                 startOperation(call, std::move(admitted));
                 return;
-            case Request::ClaimResult::Taken:
+            case Request::ClaimResult::AlreadyClaimed:
                 handleExistingClaim(call, std::move(admitted), record);
                 return;
             case Request::ClaimResult::Unavailable:
@@ -404,7 +404,7 @@
     }
     const bool claimedHere = record.home == m_settings.name && record.incarnation == m_incarnation;
     const bool abandoned = claimedHere && m_abandonedClaims.erase(record.token) > 0;
-    if (abandoned || m_operations.knows(admitted.organisation, admitted.operationKey)) {
+    if (abandoned || m_operations.contains(admitted.organisation, admitted.operationKey)) {
         admitted.record = record;
         startOperation(call, std::move(admitted));
         return;
@@ -518,7 +518,7 @@
     command.engine = admitted.engine;
     command.priority = admitted.rank == 0 ? admitted.requestClass.rank : admitted.rank;
     command.repeatable = admitted.requestClass.repeatable;
-    command.tellRate = run.tellRate;
+    command.reportRate = run.reportRate;
     command.holdAnswer = !admitted.operationKey.empty();
     command.operationKey = admitted.operationKey;
     command.fence
@@ -532,9 +532,9 @@
     m_callbacks.relay(Relay::Stop {cancel.request});
 }
 
-void Frontend::endpointStated(const Relay::EndpointStated &stated)
+void Frontend::endpointAdvertised(const Relay::EndpointStated &stated)
 {
-    m_home.endpointStated(Base::now(), stated.id, stated.endpoint, stated.stated);
+    m_home.endpointAdvertised(Base::now(), stated.id, stated.endpoint, stated.stated);
 }
 
 void Frontend::runReported(Relay::RunOver over)
@@ -545,7 +545,7 @@
         admitted.answer = std::move(over.answer);
         admitted.lastRun = over.report;
         ClassMetrics &metrics = m_metrics.forClass(admitted.requestClass.name);
-        const bool whole = over.report.stage == Request::RunStage::Whole;
+        const bool whole = over.report.stage == Request::RunStage::ResponseComplete;
         metrics.tokens += over.report.tokens;
         metrics.wastedTokens += whole ? 0 : over.report.tokens;
         if (whole) {
@@ -561,7 +561,7 @@
         }
     }
     m_home.runEnded(Base::now(), over.report);
-    if (!over.report.callerGone) {
+    if (!over.report.callerDisconnected) {
         return;
     }
     if (const auto disconnected = m_admitted.find(over.report.id.request); disconnected != m_admitted.end()) {
@@ -619,7 +619,7 @@
     const bool operation = !entry->second.operationKey.empty();
     const AdmittedRequest admitted = entry->second;
     const std::size_t before = m_home.active();
-    m_home.callerGone(Base::now(), id);
+    m_home.callerDisconnected(Base::now(), id);
     if (m_home.active() < before) {
         // It had not started, so that it ends here.
         m_admitted.erase(id);
@@ -759,7 +759,7 @@
 
 std::size_t Frontend::unrecorded() const
 {
-    return m_journal.waiting();
+    return m_journal.pendingOutcomes();
 }
 
 Forwarder &Frontend::forwarder()
--- a/Source/Node/frontend.h
+++ b/Source/Node/frontend.h
@@ -44,7 +44,7 @@
     // From the relay
     void callArrived(const Relay::CallArrived &call);
     void callerDisconnected(std::uint64_t id);
-    void endpointStated(const Relay::EndpointStated &stated);
+    void endpointAdvertised(const Relay::EndpointStated &stated);
     void runReported(Relay::RunOver over);
 
     // From the home
