--- a/Source/Availability/endpointavailabilities.cpp
+++ b/Source/Availability/endpointavailabilities.cpp
@@ -12,8 +12,8 @@
 
 void EndpointAvailabilities::updateView(const Configuration::Catalogue &catalogue)
 {
-    m_leavingKept = catalogue.policies().leavingKept;
-    std::erase_if(m_unreadable, [&](std::uint32_t endpoint) { return catalogue.endpointNumbered(endpoint) == nullptr; });
+    m_leavingKept = catalogue.policies().leavingTimeout;
+    std::erase_if(m_unreadable, [&](std::uint32_t endpoint) { return catalogue.endpointByNumber(endpoint) == nullptr; });
 }
 
 bool EndpointAvailabilities::said(Instant now, std::uint32_t endpoint, const StatedAvailability &stated)
--- a/Source/Availability/endpointavailabilities.h
+++ b/Source/Availability/endpointavailabilities.h
@@ -35,7 +35,7 @@
     void tick(Base::Instant now);
 
 private:
-    Base::Duration m_leavingKept = Configuration::Policies().leavingKept;
+    Base::Duration m_leavingKept = Configuration::Policies().leavingTimeout;
     std::map<std::uint32_t, KnownAvailability> m_known; ///< by endpoint
     std::set<std::uint32_t> m_unreadable; ///< endpoints that last said what is not known
 };
--- a/Source/Configuration/catalogue.cpp
+++ b/Source/Configuration/catalogue.cpp
@@ -91,7 +91,7 @@
             .address = Base::parseAddress(object.value("address")).value_or(Base::Address {}),
             .dataCentre = std::string(object.value("data-centre")),
             .slots = static_cast<std::uint32_t>(integer(object, "slots")),
-            .checksOrders = flag(object, "checks-orders"),
+            .checksFence = flag(object, "checks-orders"),
             .drained = flag(object, "drained")};
 }
 
@@ -116,9 +116,9 @@
     policies.shardSize = count("shard-size", policies.shardSize);
     policies.guaranteedPercent = count("guaranteed-percent", policies.guaranteedPercent);
     policies.retryPercent = count("retry-percent", policies.retryPercent);
-    policies.mostEndings = count("most-endings", policies.mostEndings);
-    policies.leavingKept = std::chrono::seconds(count(
-        "leaving-kept", static_cast<std::uint32_t>(std::chrono::floor<std::chrono::seconds>(policies.leavingKept).count())));
+    policies.maxCrashes = count("most-endings", policies.maxCrashes);
+    policies.leavingTimeout = std::chrono::seconds(count(
+        "leaving-kept", static_cast<std::uint32_t>(std::chrono::floor<std::chrono::seconds>(policies.leavingTimeout).count())));
     return policies;
 }
 
@@ -228,32 +228,32 @@
     return longest;
 }
 
-const RequestClass *Catalogue::classNamed(std::string_view name) const
+const RequestClass *Catalogue::classByName(std::string_view name) const
 {
     return findBy(m_parts.classes, &RequestClass::name, name);
 }
 
-const RequestClass *Catalogue::classNumbered(std::uint32_t number) const
+const RequestClass *Catalogue::classByNumber(std::uint32_t number) const
 {
     return findBy(m_parts.classes, &RequestClass::number, number);
 }
 
-const Organisation *Catalogue::organisationNumbered(std::uint32_t number) const
+const Organisation *Catalogue::organisationByNumber(std::uint32_t number) const
 {
     return findIndexed(m_parts.organisations, m_organisationByNumber, number);
 }
 
-const Pool *Catalogue::poolNamed(std::string_view name) const
+const Pool *Catalogue::poolByName(std::string_view name) const
 {
     return findBy(m_parts.pools, &Pool::name, name);
 }
 
-const Pool *Catalogue::poolNumbered(std::uint32_t number) const
+const Pool *Catalogue::poolByNumber(std::uint32_t number) const
 {
     return findBy(m_parts.pools, &Pool::number, number);
 }
 
-const Endpoint *Catalogue::endpointNumbered(std::uint32_t number) const
+const Endpoint *Catalogue::endpointByNumber(std::uint32_t number) const
 {
     return findIndexed(m_parts.endpoints, m_endpointByNumber, number);
 }
--- a/Source/Configuration/catalogue.h
+++ b/Source/Configuration/catalogue.h
@@ -37,7 +37,7 @@
     bool streams = false; ///< all its answers are streams, which begin with their runs
     bool resumable = false; ///< a stream that broke off may go on at another endpoint from its last event
     bool deadlineEndsRun = false; ///< else the deadline only bounds when a run may start
-    std::uint32_t mostRuns = 8; ///< endpoints that one request may be sent to
+    std::uint32_t maxRuns = 8; ///< endpoints that one request may be sent to
 };
 
 struct Organisation
@@ -60,15 +60,15 @@
 };
 
 /// How the platform lets the number of a pool's endpoints be set, and what they cost.
-struct ScalingTerms
+struct ScalingParameters
 {
-    std::uint32_t least = 0; ///< endpoints in each data centre, of both kinds together
-    std::uint32_t most = 0;
-    Base::Duration start {}; ///< until a new one serves
+    std::uint32_t minCount = 0; ///< endpoints in each data centre, of both kinds together
+    std::uint32_t maxCount = 0;
+    Base::Duration startupTime {}; ///< until a new one serves
     double preemptiblePrice = 1.0; ///< of one that may be withdrawn, as a part of the others'
     std::vector<DataCentrePrice> prices;
 
-    bool operator==(const ScalingTerms &) const = default;
+    bool operator==(const ScalingParameters &) const = default;
 };
 
 struct Pool
@@ -77,7 +77,7 @@
     std::string name;
     PoolKind kind = PoolKind::Engine;
     std::string model;
-    std::optional<ScalingTerms> scaling; ///< none: the number is not ours to set
+    std::optional<ScalingParameters> scaling; ///< none: the number is not ours to set
 };
 
 struct Endpoint
@@ -88,10 +88,10 @@
     Base::Address address;
     std::string dataCentre;
     std::uint32_t slots = 0;
-    bool checksOrders = false;
+    bool checksFence = false;
     bool drained = false;
-    std::uint64_t memoryTokens = 0; ///< room for prompts and answers under way, 0 if not known
-    double movedTokensPerMs = 0; ///< of a kept prompt that it takes from another engine; 0: it cannot
+    std::uint64_t kvCacheTokens = 0; ///< room for prompts and answers under way, 0 if not known
+    double transferTokensPerMs = 0; ///< of a kept prompt that it takes from another engine; 0: it cannot
     bool preemptible = false; ///< the platform may withdraw it, with all others of its kind in its data centre
 };
 
@@ -148,11 +148,11 @@
     std::uint32_t shardSize = 0; ///< endpoints of one shard; 0: as many as the largest hosts can dispatch
     std::uint32_t guaranteedPercent = 5; ///< of grants, for classes past their starvation bound
     std::uint32_t retryPercent = 10; ///< of first tries, for retries in one pool
-    double retryReserve = 3.0; ///< retries in one pool that each host may make before first tries have earned any
-    double mostRetries = 50.0; ///< retries in one pool that each host may save up
-    bool retriesAreShared = false; ///< the two numbers above are for all hosts together, not for each
-    std::uint32_t mostEndings = 3; ///< endpoints that may end under one work before no host runs it; 0: no limit
-    Base::Duration leavingKept = std::chrono::seconds(60); ///< for which an endpoint that has said that it leaves gets nothing
+    double initialRetryBudget = 3.0; ///< retries in one pool that each host may make before first tries have earned any
+    double maxRetryBudget = 50.0; ///< retries in one pool that each host may save up
+    bool retryBudgetIsShared = false; ///< the two numbers above are for all hosts together, not for each
+    std::uint32_t maxCrashes = 3; ///< endpoints that may end under one work before no host runs it; 0: no limit
+    Base::Duration leavingTimeout = std::chrono::seconds(60); ///< for which an endpoint that has said that it leaves gets nothing
     bool wholePoolShards = false; ///< shards do not stop at the borders of data centres
 };
 
@@ -201,12 +201,12 @@
     const Route *routeFor(std::string_view host, std::string_view path) const;
 
     /// Each of these returns null if there is no such object.
-    const RequestClass *classNamed(std::string_view name) const;
-    const RequestClass *classNumbered(std::uint32_t number) const;
-    const Organisation *organisationNumbered(std::uint32_t number) const;
-    const Pool *poolNamed(std::string_view name) const;
-    const Pool *poolNumbered(std::uint32_t number) const;
-    const Endpoint *endpointNumbered(std::uint32_t number) const;
+    const RequestClass *classByName(std::string_view name) const;
+    const RequestClass *classByNumber(std::uint32_t number) const;
+    const Organisation *organisationByNumber(std::uint32_t number) const;
+    const Pool *poolByName(std::string_view name) const;
+    const Pool *poolByNumber(std::uint32_t number) const;
+    const Endpoint *endpointByNumber(std::uint32_t number) const;
 
     /// The organisation whose key has @p digest. Compares in a time that does not depend on how much of the digest agrees.
     const Organisation *organisationByKey(std::string_view digest) const;
--- a/Source/Configuration/objects.cpp
+++ b/Source/Configuration/objects.cpp
@@ -132,9 +132,8 @@
         entry["removed"] = mutation.removed;
         mutations.push_back(std::move(entry));
     }
-    return {{"revision", change.revision}, {"id", change.id},
-            {"at", change.atMicroseconds}, {"by", change.by},
-            {"reason", change.reason},     {"mutations", std::move(mutations)}};
+    return {{"revision", change.revision}, {"id", change.id},         {"at", change.atMicroseconds},
+            {"by", change.author},         {"reason", change.reason}, {"mutations", std::move(mutations)}};
 }
 
 absl::StatusOr<Change> changeFromJson(const nlohmann::json &json)
@@ -144,7 +143,7 @@
         change.revision = json.at("revision").get<std::uint64_t>();
         change.id = json.at("id").get<std::string>();
         change.atMicroseconds = json.at("at").get<std::int64_t>();
-        change.by = json.at("by").get<std::string>();
+        change.author = json.at("by").get<std::string>();
         change.reason = json.at("reason").get<std::string>();
         for (const nlohmann::json &entry : json.at("mutations")) {
             change.mutations.push_back({objectFromJson(entry), entry.at("removed").get<bool>()});
--- a/Source/Configuration/objects.h
+++ b/Source/Configuration/objects.h
@@ -52,7 +52,7 @@
     std::uint64_t revision = 0;
     std::string id; ///< chosen by the committing host, unique
     std::int64_t atMicroseconds = 0; ///< wall clock of the committing host
-    std::string by; ///< operator
+    std::string author; ///< operator
     std::string reason;
     std::vector<Mutation> mutations;
 };
--- a/Source/Configuration/siterecords.cpp
+++ b/Source/Configuration/siterecords.cpp
@@ -77,12 +77,12 @@
     return configuration >= other.configuration && endpoints >= other.endpoints;
 }
 
-std::uint64_t &RecordRevisions::of(RecordKind kind)
+std::uint64_t &RecordRevisions::forKind(RecordKind kind)
 {
     return kind == RecordKind::Configuration ? configuration : endpoints;
 }
 
-std::uint64_t RecordRevisions::of(RecordKind kind) const
+std::uint64_t RecordRevisions::forKind(RecordKind kind) const
 {
     return kind == RecordKind::Configuration ? configuration : endpoints;
 }
@@ -91,13 +91,13 @@
 {
     const bool changed = take(record);
     if (changed) {
-        std::uint64_t &revision = m_revisions.of(record.kind);
+        std::uint64_t &revision = m_revisions.forKind(record.kind);
         revision = std::max(revision, record.version);
     }
     return changed;
 }
 
-void SiteRecords::expect(const Record &record)
+void SiteRecords::markUnconfirmed(const Record &record)
 {
     const auto held = m_records.find({record.kind, record.key});
     if (held == m_records.end() || held->second.record.version < record.version) {
@@ -147,7 +147,7 @@
 {
     RecordRevisions complete = m_revisions;
     for (const auto &[key, version] : m_expected) {
-        std::uint64_t &revision = complete.of(key.first);
+        std::uint64_t &revision = complete.forKind(key.first);
         revision = std::min(revision, version - 1);
     }
     return complete;
@@ -196,10 +196,10 @@
 RecordChanges SiteRecords::changesSince(const RecordRevisions &since, RecordKind kind) const
 {
     RecordChanges changes;
-    changes.since.of(kind) = since.of(kind);
-    changes.revisions.of(kind) = revisions().of(kind);
+    changes.since.forKind(kind) = since.forKind(kind);
+    changes.revisions.forKind(kind) = revisions().forKind(kind);
     for (const Held &held : m_records | std::views::values) {
-        if (held.record.kind == kind && held.changedAt > since.of(kind)) {
+        if (held.record.kind == kind && held.changedAt > since.forKind(kind)) {
             changes.records.push_back(held.record);
         }
     }
--- a/Source/Configuration/siterecords.h
+++ b/Source/Configuration/siterecords.h
@@ -45,8 +45,8 @@
     std::uint64_t configuration = 0;
     std::uint64_t endpoints = 0;
 
-    std::uint64_t &of(RecordKind kind);
-    std::uint64_t of(RecordKind kind) const;
+    std::uint64_t &forKind(RecordKind kind);
+    std::uint64_t forKind(RecordKind kind) const;
 
     bool operator==(const RecordRevisions &) const = default;
 
@@ -74,7 +74,7 @@
 
     /// Notes that @p record is known of and not believed yet: this copy lacks it, and says so to others, until it or a later
     /// state of it is merged.
-    void expect(const Record &record);
+    void markUnconfirmed(const Record &record);
 
     /// Up to where this copy lacks nothing. Versions that heartbeats raise do not count, so that equal copies come to have
     /// equal revisions.
--- a/Source/Configuration/store.h
+++ b/Source/Configuration/store.h
@@ -47,7 +47,7 @@
 struct CommitRequest
 {
     std::vector<Language::Command> commands;
-    std::string by;
+    std::string author;
     std::string reason;
     std::optional<std::uint64_t> ifRevision; ///< reject unless the configuration is at this revision
     bool dryRun = false;
@@ -231,7 +231,7 @@
             finish(mutations.status());
             return;
         }
-        Change change {head.revision + 1,      pending.id,           Base::wallMicroseconds(), pending.request.by,
+        Change change {head.revision + 1,      pending.id,           Base::wallMicroseconds(), pending.request.author,
                        pending.request.reason, std::move(*mutations)};
         Platform::Transaction transaction {{headGuard(head)}, {}, {}};
         transaction.puts.push_back({std::string(headKey), headToText({change.revision, change.id, {}})});
--- a/Source/Dispatch/endpointstates.cpp
+++ b/Source/Dispatch/endpointstates.cpp
@@ -109,7 +109,7 @@
         if (state.takesWork()) {
             const bool isOpen = state.pace.left(now) > 0 && state.rests.allowSome(now);
             std::vector<Candidate> &found = isOpen ? open : used;
-            found.push_back({number, state.running, std::max(1U, state.slots), state.memoryTokens, state.movedTokensPerMs});
+            found.push_back({number, state.running, std::max(1U, state.slots), state.kvCacheTokens, state.transferTokensPerMs});
         }
     }
     return open.empty() ? used : open;
--- a/Source/Dispatch/endpointstates.h
+++ b/Source/Dispatch/endpointstates.h
@@ -44,8 +44,8 @@
     Health health;
     std::uint32_t running = 0;
     std::uint32_t slots = 0;
-    std::uint64_t memoryTokens = 0;
-    double movedTokensPerMs = 0;
+    std::uint64_t kvCacheTokens = 0;
+    double transferTokensPerMs = 0;
     bool drained = false;
     bool leaving = false;
     bool gone = false; ///< another endpoint answers at its address; its name does not come back
--- a/Source/Dispatch/placement.h
+++ b/Source/Dispatch/placement.h
@@ -27,8 +27,8 @@
     std::uint32_t endpoint = 0;
     std::uint32_t running = 0;
     std::uint32_t window = 0;
-    std::uint64_t memoryTokens = 0; ///< 0 if not known
-    double movedTokensPerMs = 0; ///< of a kept prompt, from another endpoint; 0: none can be moved
+    std::uint64_t kvCacheTokens = 0; ///< 0 if not known
+    double transferTokensPerMs = 0; ///< of a kept prompt, from another endpoint; 0: none can be moved
 };
 
 /// Part of its window that is in use.
--- a/Source/Dispatch/shard.cpp
+++ b/Source/Dispatch/shard.cpp
@@ -121,7 +121,7 @@
     }
     for (QueuedAsk &ask : waiting) {
         // A class that was deleted meanwhile leaves its asks their last terms.
-        if (const RequestClass *requestClass = m_catalogue->classNumbered(ask.ask.requestClass)) {
+        if (const RequestClass *requestClass = m_catalogue->classByNumber(ask.ask.requestClass)) {
             ask.terms = poolTerms().of(*requestClass, ask.ask.rank);
         }
         enqueue(ask);
@@ -142,7 +142,7 @@
         state.drained = std::ranges::find(m_info.endpoints, number) == m_info.endpoints.end();
     }
     for (const std::uint32_t number : m_info.endpoints) {
-        const Endpoint *endpoint = m_catalogue->endpointNumbered(number);
+        const Endpoint *endpoint = m_catalogue->endpointByNumber(number);
         const auto [entry, added] = m_endpoints.try_emplace(number);
         EndpointState &state = entry->second;
         if (added) {
@@ -153,8 +153,8 @@
             state.window = makeWindow(endpoint->slots);
         }
         state.drained = endpoint->drained;
-        state.memoryTokens = endpoint->memoryTokens;
-        state.movedTokensPerMs = endpoint->movedTokensPerMs;
+        state.kvCacheTokens = endpoint->kvCacheTokens;
+        state.transferTokensPerMs = endpoint->transferTokensPerMs;
     }
     distrustUnusable();
 }
@@ -222,8 +222,8 @@
         return;
     }
     ++m_counters.asked;
-    const RequestClass *requestClass = m_catalogue->classNumbered(message.requestClass);
-    const Configuration::Organisation *organisation = m_catalogue->organisationNumbered(message.organisation);
+    const RequestClass *requestClass = m_catalogue->classByNumber(message.requestClass);
+    const Configuration::Organisation *organisation = m_catalogue->organisationByNumber(message.organisation);
     QueuedAsk queued {key,
                       home,
                       message,
@@ -494,7 +494,7 @@
         if (m_permits.contains(key) || endpoint == m_endpoints.end()) {
             continue;
         }
-        const RequestClass *requestClass = m_catalogue->classNumbered(entry.requestClass);
+        const RequestClass *requestClass = m_catalogue->classByNumber(entry.requestClass);
         const ClassTerms terms = requestClass == nullptr ? ClassTerms {} : poolTerms().of(*requestClass);
         m_permits.emplace(key, Permit {home, entry.endpoint, terms, now, {}, false, {}});
         ++endpoint->second.running;
@@ -695,7 +695,7 @@
     for (const auto &[number, state] : m_endpoints) {
         const std::uint32_t free = room(state, now);
         if (free > 0 && state.pace.left(now) > 0 && state.rests.allowSome(now)) {
-            found.push_back({number, state.running, state.running + free, state.memoryTokens, state.movedTokensPerMs});
+            found.push_back({number, state.running, state.running + free, state.kvCacheTokens, state.transferTokensPerMs});
         }
     }
     return found;
@@ -763,8 +763,8 @@
 void Shard::grant(Instant now, const QueuedAsk &ask, std::uint32_t endpoint)
 {
     EndpointState &state = m_endpoints.at(endpoint);
-    const Candidate chosen {endpoint, state.running, state.running + room(state, now), state.memoryTokens,
-                            state.movedTokensPerMs};
+    const Candidate chosen {endpoint, state.running, state.running + room(state, now), state.kvCacheTokens,
+                            state.transferTokensPerMs};
     const PlacedRun placed = std::visit([&](auto &placement) { return placement.placed(ask, chosen, now); }, m_placement);
     Base::require(state.isUsable(), Base::Invariant::LeavingGetsNothing);
     Base::require(!m_permits.contains(ask.key), Base::Invariant::AnsweredOnce);
@@ -781,7 +781,7 @@
                    {ask.key.id, endpoint, startBy, pressure(), placed.keeper, rate},
                    room(state, now) == 0,
                    placed};
-    const RequestClass *requestClass = m_catalogue->classNumbered(ask.ask.requestClass);
+    const RequestClass *requestClass = m_catalogue->classByNumber(ask.ask.requestClass);
     if (requestClass != nullptr && requestClass->deadlineEndsRun) {
         permit.expires = ask.deadline + expiryGrace;
     }
--- a/Source/Dispatch/soonestfirsttoken.cpp
+++ b/Source/Dispatch/soonestfirsttoken.cpp
@@ -210,9 +210,9 @@
     const Engine *engine = engineOf(candidate.endpoint);
     Reading reading;
     reading.kept = engine == nullptr ? 0 : keptOf(*engine, ask);
-    if (candidate.movedTokensPerMs > 0 && keeper.tokens > reading.kept && keeper.endpoint != candidate.endpoint) {
+    if (candidate.transferTokensPerMs > 0 && keeper.tokens > reading.kept && keeper.endpoint != candidate.endpoint) {
         const std::uint32_t taken = keeper.tokens - reading.kept;
-        const Base::Duration moving = keeper.linkBusy + moveSetUp + fromMs(taken / candidate.movedTokensPerMs);
+        const Base::Duration moving = keeper.linkBusy + moveSetUp + fromMs(taken / candidate.transferTokensPerMs);
         if (timeToRead(taken) > moving * leastSavedByMove) {
             reading.kept = keeper.tokens;
             reading.keeper = keeper.endpoint;
@@ -253,12 +253,12 @@
 bool SoonestFirstToken::fits(const QueuedAsk &ask, const Candidate &candidate, std::uint64_t memory) const
 {
     const Engine *engine = engineOf(candidate.endpoint);
-    if (engine == nullptr || candidate.memoryTokens == 0 || engine->runningTokens == 0) {
+    if (engine == nullptr || candidate.kvCacheTokens == 0 || engine->runningTokens == 0) {
         return true;
     }
     const bool mostUrgent = ask.terms.tightestAbove == Base::Duration::zero();
     const double share = mostUrgent ? runningShareOfMostUrgent : runningShare;
-    const auto most = static_cast<std::uint64_t>(share * static_cast<double>(candidate.memoryTokens));
+    const auto most = static_cast<std::uint64_t>(share * static_cast<double>(candidate.kvCacheTokens));
     return engine->runningTokens + memory <= most;
 }
 
@@ -363,9 +363,9 @@
     engine.underWay[run.rank] += run.reading;
     engine.runningTokens += run.tokens;
     engine.cache.read(chainOf(ask), now + part(backlog + plan.moving + run.reading, readMargin));
-    if (candidate.memoryTokens > 0) {
+    if (candidate.kvCacheTokens > 0) {
         // Runs and kept prompts share the memory; what runs does not give way.
-        engine.cache.shrink(candidate.memoryTokens - std::min(candidate.memoryTokens, engine.runningTokens));
+        engine.cache.shrink(candidate.kvCacheTokens - std::min(candidate.kvCacheTokens, engine.runningTokens));
     }
     return run;
 }
--- a/Source/Lease/lease.cpp
+++ b/Source/Lease/lease.cpp
@@ -7,13 +7,13 @@
 
 namespace Yokepond::Lease {
 
-Lease::Lease(const LeaseTerms &terms, std::uint64_t self)
+Lease::Lease(const LeaseOptions &terms, std::uint64_t self)
     : m_terms(terms)
     , m_self(self)
 {
 }
 
-void Lease::seen(Base::Instant now, const RowView &row)
+void Lease::updateRow(Base::Instant now, const RowState &row)
 {
     if (m_writing || (m_known && row.version < m_version)) {
         // An answer from before what is known by now.
@@ -40,7 +40,7 @@
     if (!m_known || m_writing) {
         return false;
     }
-    return m_own || m_version == 0 || now - m_firstSeen >= m_terms.quiet;
+    return m_own || m_version == 0 || now - m_firstSeen >= m_terms.takeoverDelay;
 }
 
 std::uint64_t Lease::expectedVersion() const
@@ -48,13 +48,13 @@
     return m_version;
 }
 
-void Lease::writing(Base::Instant now)
+void Lease::writeStarted(Base::Instant now)
 {
     m_writing = true;
     m_sentAt = now;
 }
 
-void Lease::written(WriteResult result, std::uint64_t version)
+void Lease::writeFinished(WriteResult result, std::uint64_t version)
 {
     m_writing = false;
     switch (result) {
@@ -62,15 +62,15 @@
         m_version = version;
         m_own = true;
         m_fence = m_fence == 0 ? version : m_fence;
-        m_actUntil = m_sentAt + m_terms.actFor;
+        m_actUntil = m_sentAt + m_terms.validity;
         break;
-    case WriteResult::Refused:
+    case WriteResult::VersionMismatch:
     case WriteResult::Undetermined:
         // What has been written is known only after a read.
         m_known = false;
         m_actUntil = {};
         break;
-    case WriteResult::NotDone:
+    case WriteResult::NotApplied:
         break;
     }
 }
@@ -85,12 +85,12 @@
     return m_own && m_fence != 0 && now < m_actUntil ? std::optional(m_fence) : std::nullopt;
 }
 
-Base::Duration Lease::timeToAct(Base::Instant now) const
+Base::Duration Lease::remainingTime(Base::Instant now) const
 {
     return m_own ? std::max(Base::Duration::zero(), m_actUntil - now) : Base::Duration::zero();
 }
 
-bool Lease::mustRead() const
+bool Lease::needsRead() const
 {
     return !m_known && !m_writing;
 }
--- a/Source/Lease/lease.h
+++ b/Source/Lease/lease.h
@@ -17,14 +17,14 @@
 /// What the parties hold to. A holder acts for @ref actFor after it sent the write that its right comes from; another takes the
 /// row only after it has seen it unchanged for @ref quiet. The difference covers calls that are still on their way, and a
 /// process that notices the end late.
-struct LeaseTerms
+struct LeaseOptions
 {
-    Base::Duration actFor = std::chrono::milliseconds(2000);
-    Base::Duration quiet = std::chrono::milliseconds(3500);
+    Base::Duration validity = std::chrono::milliseconds(2000);
+    Base::Duration takeoverDelay = std::chrono::milliseconds(3500);
 };
 
 /// The row as the store tells it.
-struct RowView
+struct RowState
 {
     std::uint64_t version = 0; ///< that the store gave its last write; 0: there is no row
     std::uint64_t holder = 0; ///< incarnation of the process that wrote it
@@ -40,8 +40,8 @@
 /// What became of a write under the condition that the row had the expected version.
 enum class WriteResult {
     Done,
-    Refused, ///< the row had another version
-    NotDone, ///< the store says that it did nothing
+    VersionMismatch, ///< the row had another version
+    NotApplied, ///< the store says that it did nothing
     Undetermined, ///< no answer: done, not done, or done later if the condition still holds then
 };
 
@@ -54,10 +54,10 @@
 {
 public:
     /// @p self: the incarnation of this process, which no other ever has.
-    Lease(const LeaseTerms &terms, std::uint64_t self);
+    Lease(const LeaseOptions &terms, std::uint64_t self);
 
     /// A read, or a refused write, showed the row; @p now is when the answer came.
-    void seen(Base::Instant now, const RowView &row);
+    void updateRow(Base::Instant now, const RowState &row);
 
     /// Whether a write may be sent: the row is known, and it is this process's own, absent, or has been quiet for long enough.
     bool mayWrite(Base::Instant now) const;
@@ -66,10 +66,10 @@
     std::uint64_t expectedVersion() const;
 
     /// A write leaves.
-    void writing(Base::Instant now);
+    void writeStarted(Base::Instant now);
 
     /// That write's answer; @p version is the store's for a write that was done. A refused one must be followed by seen().
-    void written(WriteResult result, std::uint64_t version);
+    void writeFinished(WriteResult result, std::uint64_t version);
 
     /// Whether the row is this process's own, as far as it knows.
     bool isHeld() const;
@@ -79,13 +79,13 @@
     std::optional<std::uint64_t> fence(Base::Instant now) const;
 
     /// How long a call that leaves now may last; it must have been cut by then.
-    Base::Duration timeToAct(Base::Instant now) const;
+    Base::Duration remainingTime(Base::Instant now) const;
 
     /// The row must be read before anything else can be done.
-    bool mustRead() const;
+    bool needsRead() const;
 
 private:
-    LeaseTerms m_terms;
+    LeaseOptions m_terms;
     std::uint64_t m_self;
     bool m_known = false;
     bool m_own = false;
--- a/Source/Membership/duty.cpp
+++ b/Source/Membership/duty.cpp
@@ -35,13 +35,13 @@
         std::ranges::count_if(members, [&](const Peer::Member &other) { return weightOf(other, seed) > weight; }));
 }
 
-bool isPicked(std::string_view self, std::string_view duty, const std::vector<Peer::Member> &members, std::size_t count)
+bool isSelected(std::string_view self, std::string_view duty, const std::vector<Peer::Member> &members, std::size_t count)
 {
     const auto rank = rankOf(self, duty, members);
     return rank && *rank < count;
 }
 
-std::vector<std::string> picked(std::string_view duty, const std::vector<Peer::Member> &members, std::size_t count)
+std::vector<std::string> selectMembers(std::string_view duty, const std::vector<Peer::Member> &members, std::size_t count)
 {
     const std::uint64_t seed = Base::hash64(duty);
     std::vector<std::pair<Weight, const Peer::Member *>> weighed;
--- a/Source/Membership/duty.h
+++ b/Source/Membership/duty.h
@@ -21,9 +21,9 @@
 std::optional<std::size_t> rankOf(std::string_view self, std::string_view duty, const std::vector<Peer::Member> &members);
 
 /// Whether @p self is one of the first @p count in that order.
-bool isPicked(std::string_view self, std::string_view duty, const std::vector<Peer::Member> &members, std::size_t count);
+bool isSelected(std::string_view self, std::string_view duty, const std::vector<Peer::Member> &members, std::size_t count);
 
 /// Names of the first @p count in that order.
-std::vector<std::string> picked(std::string_view duty, const std::vector<Peer::Member> &members, std::size_t count);
+std::vector<std::string> selectMembers(std::string_view duty, const std::vector<Peer::Member> &members, std::size_t count);
 
 } // namespace Yokepond::Membership
--- a/Source/Membership/swim.cpp
+++ b/Source/Membership/swim.cpp
@@ -75,7 +75,7 @@
     m_revision = revision;
 }
 
-void Swim::tellRevision(std::size_t count)
+void Swim::announceRevision(std::size_t count)
 {
     for (const std::string &name : randomOthers(count, m_self.name)) {
         send(name, Probe {++m_sequence, {}, m_revision, digest(), {}});
@@ -182,7 +182,7 @@
 
 Base::Duration Swim::suspicionTime() const
 {
-    const double periods = std::max<double>(m_options.leastSuspicionPeriods, std::log2(static_cast<double>(m_members.size())));
+    const double periods = std::max<double>(m_options.minSuspicionPeriods, std::log2(static_cast<double>(m_members.size())));
     return std::chrono::duration_cast<Base::Duration>(m_options.period * periods);
 }
 
@@ -198,7 +198,7 @@
         if (member.state == MemberState::Suspect && now - changed->second >= suspicionTime()) {
             dead.push_back(member);
         }
-        if (member.state == MemberState::Dead && now - changed->second >= m_options.deadKept) {
+        if (member.state == MemberState::Dead && now - changed->second >= m_options.deadRetention) {
             forgotten.push_back(name);
         }
     }
@@ -339,7 +339,7 @@
     }
     // Tables differ. While news is on its way that is no wonder; after it should have arrived, the whole table settles it.
     const bool settled = m_news.empty() && now - m_lastChange >= suspicionTime();
-    if (settled && now - m_lastWhole >= m_options.fullExchange) {
+    if (settled && now - m_lastWhole >= m_options.fullSyncInterval) {
         m_lastWhole = now;
         m_wholeDue.insert(from);
     }
@@ -407,7 +407,7 @@
     return std::exchange(m_outgoing, {});
 }
 
-std::vector<std::string> Swim::takeFoundSilent()
+std::vector<std::string> Swim::takeNewSuspects()
 {
     return std::exchange(m_foundSilent, {});
 }
--- a/Source/Membership/swim.h
+++ b/Source/Membership/swim.h
@@ -25,9 +25,9 @@
     Base::Duration period = std::chrono::milliseconds(400); ///< one probe a period
     Base::Duration probeTimeout = std::chrono::milliseconds(150); ///< then others are asked to probe
     unsigned int indirectProbes = 3;
-    unsigned int leastSuspicionPeriods = 3; ///< more in a larger fleet, by the logarithm of its size
-    Base::Duration deadKept = std::chrono::seconds(60); ///< the dead are remembered so that old news cannot revive them
-    Base::Duration fullExchange = std::chrono::seconds(2); ///< least time between whole tables sent
+    unsigned int minSuspicionPeriods = 3; ///< more in a larger fleet, by the logarithm of its size
+    Base::Duration deadRetention = std::chrono::seconds(60); ///< the dead are remembered so that old news cannot revive them
+    Base::Duration fullSyncInterval = std::chrono::seconds(2); ///< least time between whole tables sent
 };
 
 /// A message to the host that listens on an address.
@@ -53,7 +53,7 @@
     void setRevision(std::uint64_t revision);
 
     /// Tells @p count others of the revision at once; the rest learn of it by the usual probes.
-    void tellRevision(std::size_t count);
+    void announceRevision(std::size_t count);
 
     /// Call at least every probe timeout.
     void tick(Base::Instant now);
@@ -67,7 +67,7 @@
     std::vector<Outgoing> takeOutgoing();
 
     /// The members that this host itself has begun to suspect since the last call: they answer neither it nor those it asked.
-    std::vector<std::string> takeFoundSilent();
+    std::vector<std::string> takeNewSuspects();
 
     /// All members known, this host among them, by name.
     const std::map<std::string, Peer::Member> &members() const;
--- a/Source/Node/console.cpp
+++ b/Source/Node/console.cpp
@@ -195,7 +195,7 @@
     const Http::Request &request = exchange->request();
     Configuration::CommitRequest commit;
     commit.commands = std::move(commands);
-    commit.by = account.name;
+    commit.author = account.name;
     commit.reason = header(request, "yokepond-reason");
     commit.dryRun = header(request, "yokepond-dry-run") == "yes";
     if (const std::string revision = header(request, "yokepond-if-revision"); !revision.empty()) {
--- a/Source/Node/daemon.cpp
+++ b/Source/Node/daemon.cpp
@@ -188,8 +188,8 @@
         = std::make_unique<Platform::DutyClient>(m_client, m_settings.platform, m_settings.duties, m_settings.platformTimeout);
     UsageDutyOptions options {.host = m_settings.name, .incarnation = m_incarnation};
     options.reporter.window = m_settings.usageWindow;
-    options.reporter.lease.quiet = m_settings.dutyQuiet + dutyMargin;
-    options.reporter.lease.actFor = m_settings.dutyQuiet - dutyMargin * 2;
+    options.reporter.lease.takeoverDelay = m_settings.dutyQuiet + dutyMargin;
+    options.reporter.lease.validity = m_settings.dutyQuiet - dutyMargin * 2;
     m_usage = std::make_unique<UsageDuty<Platform::DutyClient>>(
         *m_dutyClient, options, Base::now(), Base::wallMicroseconds(),
         [this](const std::string &member, Peer::Message message) { sendToMember(member, std::move(message)); });
--- a/Source/Node/fleet.cpp
+++ b/Source/Node/fleet.cpp
@@ -225,8 +225,8 @@
     Base::log(Base::LogLevel::Info, Base::LogEvent::ChangesSent,
               {{"to", to},
                {"kind", Base::nameOf(Configuration::recordKindNames, kind)},
-               {"since", since.of(kind)},
-               {"version", m_records.revisions().of(kind)},
+               {"since", since.forKind(kind)},
+               {"version", m_records.revisions().forKind(kind)},
                {"base", packed->base},
                {"bytes", packed->bytes.size()}});
     m_events.send(addressOf(to), Peer::Changes {{}, {}, std::move(packed->bytes), packed->base});
@@ -319,7 +319,7 @@
 /// silent, and it takes a second or two until the next by rank has heard of it.
 void Fleet::replaceSilentFollowers(Base::Instant now)
 {
-    for (const std::string &name : m_swim.takeFoundSilent()) {
+    for (const std::string &name : m_swim.takeNewSuspects()) {
         if (std::ranges::find(m_followers, name) != m_followers.end()) {
             m_inPlaceUntil = now + followsInPlaceFor;
         }
@@ -334,7 +334,7 @@
     std::ranges::copy_if(presentMembers, std::back_inserter(sound), [this](const Peer::Member &member) {
         return member.state != Peer::MemberState::Suspect || member.name == m_settings.name;
     });
-    m_followers = Membership::picked(followDuty, sound, m_settings.storeFollowers);
+    m_followers = Membership::selectMembers(followDuty, sound, m_settings.storeFollowers);
     m_isFollower = std::ranges::find(m_followers, m_settings.name) != m_followers.end();
     m_dependants.clear();
     for (const Peer::Member &member : sound) {
@@ -428,7 +428,7 @@
 
 void Fleet::expectRecord(const Configuration::Record &record)
 {
-    m_records.expect(record);
+    m_records.markUnconfirmed(record);
     m_swim.setRevision(m_records.digest());
 }
 
@@ -445,7 +445,7 @@
     // Changes that come together are decoded together, at the next tick.
     m_recordsUnread = true;
     // The others follow the store too, or ask for what they lack.
-    m_swim.tellRevision(spreadTo);
+    m_swim.announceRevision(spreadTo);
     flushMembership();
 }
 
--- a/Source/Node/front.cpp
+++ b/Source/Node/front.cpp
@@ -111,8 +111,8 @@
     Admitted admitted;
     admitted.id = call.id;
     admitted.requestClass = requestClass;
-    admitted.engine = catalogue->poolNumbered(requestClass.pool) != nullptr
-        && catalogue->poolNumbered(requestClass.pool)->kind == PoolKind::Engine;
+    admitted.engine = catalogue->poolByNumber(requestClass.pool) != nullptr
+        && catalogue->poolByNumber(requestClass.pool)->kind == PoolKind::Engine;
     admitted.arrived = Base::now();
     admitted.callersName = call.callersName;
     admitted.rank = requestClass.rank;
@@ -212,11 +212,11 @@
         return makeError(ErrorKind::UnknownClass,
                          fmt::format("send Yokepond-Class; organisation '{}' has no default class", organisation.name));
     }
-    const RequestClass *requestClass = catalogue->classNamed(name);
+    const RequestClass *requestClass = catalogue->classByName(name);
     if (requestClass == nullptr) {
         return makeError(ErrorKind::UnknownClass, fmt::format("there is no class '{}'", name));
     }
-    const Configuration::Pool *pool = catalogue->poolNumbered(requestClass->pool);
+    const Configuration::Pool *pool = catalogue->poolByNumber(requestClass->pool);
     const PoolKind kind = servicePool.empty() ? PoolKind::Engine : PoolKind::Service;
     if (pool == nullptr || pool->kind != kind || (kind == PoolKind::Service && pool->name != servicePool)) {
         return makeError(
@@ -493,7 +493,7 @@
 {
     const auto entry = m_admitted.find(run.id.request);
     const auto catalogue = m_fleet.catalogue();
-    const Configuration::Endpoint *endpoint = catalogue->endpointNumbered(run.endpoint);
+    const Configuration::Endpoint *endpoint = catalogue->endpointByNumber(run.endpoint);
     // The dispatcher may not know yet that an endpoint is leaving or gone.
     if (entry == m_admitted.end() || endpoint == nullptr || endpoint->drained) {
         m_home.runEnded(Base::now(), {.id = run.id, .stage = Request::RunStage::Stale});
@@ -511,7 +511,7 @@
     command.deadline = admitted.deadline;
     command.address = endpoint->address.text();
     // One that is leaving or gone would keep the run waiting for it.
-    if (const auto *keeper = catalogue->endpointNumbered(run.keeper); keeper != nullptr && !keeper->drained) {
+    if (const auto *keeper = catalogue->endpointByNumber(run.keeper); keeper != nullptr && !keeper->drained) {
         command.keeper = keeper->address.text();
     }
     command.path = admitted.path;
@@ -522,7 +522,7 @@
     command.holdAnswer = !admitted.operationKey.empty();
     command.operationKey = admitted.operationKey;
     command.fence
-        = endpoint->checksOrders ? fmt::format("{:016x}.{:016x}.{:03}", m_incarnation, run.id.request, run.id.attempt) : "";
+        = endpoint->checksFence ? fmt::format("{:016x}.{:016x}.{:03}", m_incarnation, run.id.request, run.id.attempt) : "";
     command.startBy = run.startBy;
     m_events.relay(std::move(command));
 }
--- a/Source/Node/queries.cpp
+++ b/Source/Node/queries.cpp
@@ -173,13 +173,13 @@
 
 std::string Queries::className(std::uint32_t number) const
 {
-    const auto *object = m_fleet.catalogue()->classNumbered(number);
+    const auto *object = m_fleet.catalogue()->classByNumber(number);
     return object == nullptr ? fmt::format("#{}", number) : object->name;
 }
 
 std::string Queries::endpointName(std::uint32_t number) const
 {
-    const auto *object = m_fleet.catalogue()->endpointNumbered(number);
+    const auto *object = m_fleet.catalogue()->endpointByNumber(number);
     return object == nullptr ? (number == 0 ? "" : fmt::format("#{}", number)) : object->name;
 }
 
@@ -187,7 +187,7 @@
 {
     Answer answer {{"id", "class", "organisation", "state", "age-ms", "attempt", "endpoint", "dispatcher", "home"}, {}, {}};
     for (const Request::RequestView &view : m_home.requests(now)) {
-        const auto *organisation = m_fleet.catalogue()->organisationNumbered(view.organisation);
+        const auto *organisation = m_fleet.catalogue()->organisationByNumber(view.organisation);
         answer.rows.push_back({{"id", m_front.requestName(view.id)},
                                {"class", className(view.requestClass)},
                                {"organisation", organisation == nullptr ? "" : organisation->name},
@@ -242,11 +242,11 @@
                    {}};
     for (const auto &[id, shard] : m_dispatcher.shards()) {
         for (const Dispatch::EndpointView &view : shard.endpoints()) {
-            const auto *endpoint = m_fleet.catalogue()->endpointNumbered(view.endpoint);
+            const auto *endpoint = m_fleet.catalogue()->endpointByNumber(view.endpoint);
             if (endpoint == nullptr) {
                 continue;
             }
-            const auto *pool = m_fleet.catalogue()->poolNumbered(endpoint->pool);
+            const auto *pool = m_fleet.catalogue()->poolByNumber(endpoint->pool);
             answer.rows.push_back({{"name", endpoint->name},
                                    {"pool", pool == nullptr ? "" : pool->name},
                                    {"address", endpoint->address.text()},
@@ -285,7 +285,7 @@
     Answer answer {
         {"shard", "pool", "data-centre", "host", "endpoints", "waiting", "running", "granted", "refused", "shed"}, {}, {}};
     for (const auto &[id, shard] : m_dispatcher.shards()) {
-        const auto *pool = m_fleet.catalogue()->poolNumbered(shard.info().pool);
+        const auto *pool = m_fleet.catalogue()->poolByNumber(shard.info().pool);
         answer.rows.push_back({{"shard", fmt::format("{:08x}", id)},
                                {"pool", pool == nullptr ? "" : pool->name},
                                {"data-centre", shard.info().dataCentre},
@@ -367,7 +367,7 @@
         answer.rows.push_back({{"revision", change.revision},
                                {"id", change.id},
                                {"at", change.atMicroseconds / 1'000'000},
-                               {"by", change.by},
+                               {"by", change.author},
                                {"reason", change.reason},
                                {"objects", absl::StrJoin(names, ", ")}});
     }
@@ -454,7 +454,7 @@
 Answer Queries::whyClass(const std::string &name, Base::Instant now) const
 {
     Answer answer {{"host", "reason", "detail"}, {}, {}};
-    const auto *requestClass = m_fleet.catalogue()->classNamed(name);
+    const auto *requestClass = m_fleet.catalogue()->classByName(name);
     if (requestClass == nullptr) {
         return answer;
     }
--- a/Source/Node/routing.cpp
+++ b/Source/Node/routing.cpp
@@ -26,16 +26,16 @@
     const auto weights = route.shares | std::views::transform(&RouteShare::weight);
     const std::uint64_t total = std::accumulate(weights.begin(), weights.end(), std::uint64_t {0});
     if (total == 0) {
-        return catalogue.classNumbered(route.shares.front().requestClass);
+        return catalogue.classByNumber(route.shares.front().requestClass);
     }
     std::uint64_t point = Base::hash64(requestName) % total;
     for (const RouteShare &share : route.shares) {
         if (point < share.weight) {
-            return catalogue.classNumbered(share.requestClass);
+            return catalogue.classByNumber(share.requestClass);
         }
         point -= share.weight;
     }
-    return catalogue.classNumbered(route.shares.back().requestClass);
+    return catalogue.classByNumber(route.shares.back().requestClass);
 }
 
 } // namespace
--- a/Source/Node/settings.cpp
+++ b/Source/Node/settings.cpp
@@ -81,7 +81,7 @@
     Membership::SwimOptions options;
     options.period = milliseconds(ini, "membership", "period-ms", 400, 10);
     options.probeTimeout = milliseconds(ini, "membership", "probe-timeout-ms", 150, 1);
-    options.leastSuspicionPeriods = static_cast<unsigned int>(ini.number("membership", "suspicion-periods", 3, 1, 100));
+    options.minSuspicionPeriods = static_cast<unsigned int>(ini.number("membership", "suspicion-periods", 3, 1, 100));
     if (options.probeTimeout >= options.period) {
         ini.reject("membership", "probe-timeout-ms", "less than period-ms");
     }
@@ -118,14 +118,14 @@
     policies.retryPercent = static_cast<std::uint32_t>(share * percent);
     const double slack = ini.decimal("retries", "slack", 0.0, 0.0, 100'000.0);
     if (slack > 0) {
-        policies.retryReserve = slack * slackSpent;
-        policies.mostRetries = slack * slackSpent;
-        policies.retriesAreShared = true;
+        policies.initialRetryBudget = slack * slackSpent;
+        policies.maxRetryBudget = slack * slackSpent;
+        policies.retryBudgetIsShared = true;
     }
-    policies.mostEndings = static_cast<std::uint32_t>(ini.number("retries", "most-endings", policies.mostEndings, 0, 100));
+    policies.maxCrashes = static_cast<std::uint32_t>(ini.number("retries", "most-endings", policies.maxCrashes, 0, 100));
     // An endpoint that starts anew has another name there, so that nothing is lost by believing it for long.
-    constexpr std::int64_t leavingKept = 600;
-    policies.leavingKept = std::chrono::seconds(ini.number("dispatch", "leaving-kept", leavingKept, 1, 86'400));
+    constexpr std::int64_t leavingTimeout = 600;
+    policies.leavingTimeout = std::chrono::seconds(ini.number("dispatch", "leaving-kept", leavingTimeout, 1, 86'400));
     const auto placement = Base::valueOf(Configuration::placementNames, ini.text("dispatch", "placement", "affinity"));
     if (!placement) {
         ini.reject("dispatch", "placement", "affinity, least-loaded, round-robin or soonest-first-token");
--- a/Source/Node/usageduty.h
+++ b/Source/Node/usageduty.h
@@ -80,7 +80,7 @@
     void setMembers(const std::vector<Peer::Member> &members)
     {
         m_rank = Membership::rankOf(m_options.host, dutyName, members);
-        m_collectors = Membership::picked(dutyName, members, collectors);
+        m_collectors = Membership::selectMembers(dutyName, members, collectors);
         m_holderPresent = std::ranges::find(members, m_holder, &Peer::Member::name) != members.end();
     }
 
--- a/Source/Rate/endpointrates.cpp
+++ b/Source/Rate/endpointrates.cpp
@@ -13,9 +13,9 @@
 
 void EndpointRates::updateView(const Configuration::Catalogue &catalogue)
 {
-    std::erase_if(m_rates, [&](const auto &entry) { return catalogue.endpointNumbered(entry.first) == nullptr; });
+    std::erase_if(m_rates, [&](const auto &entry) { return catalogue.endpointByNumber(entry.first) == nullptr; });
     std::erase_if(m_turns, [&](const auto &entry) { return !of(entry.first).isLimited(); });
-    std::erase_if(m_unreadable, [&](std::uint32_t endpoint) { return catalogue.endpointNumbered(endpoint) == nullptr; });
+    std::erase_if(m_unreadable, [&](std::uint32_t endpoint) { return catalogue.endpointByNumber(endpoint) == nullptr; });
 }
 
 void EndpointRates::said(Base::Instant now, std::uint32_t endpoint, const StatedRate &stated)
--- a/Source/Request/home.cpp
+++ b/Source/Request/home.cpp
@@ -121,7 +121,7 @@
     m_hosts = members.size();
     m_rates.updateView(*m_catalogue);
     m_availabilities.updateView(*m_catalogue);
-    m_quarantine.updateView(now, members, m_catalogue->policies().mostEndings);
+    m_quarantine.updateView(now, members, m_catalogue->policies().maxCrashes);
     m_unreachable.clear();
     for (const Peer::Member &member : members) {
         if (member.state == Peer::MemberState::Suspect) {
@@ -152,7 +152,7 @@
 void Home::start(Instant now, const NewRequest &request)
 {
     ++m_counters.arrived;
-    const Configuration::RequestClass *requestClass = m_catalogue->classNumbered(request.requestClass);
+    const Configuration::RequestClass *requestClass = m_catalogue->classByNumber(request.requestClass);
     if (requestClass == nullptr) {
         ++m_counters.failed;
         m_actions.emplace_back(
@@ -265,7 +265,7 @@
     pending.misdirected = 0;
     m_localWindow.started(endpoint);
     const auto nameOf = [this](std::uint32_t number) {
-        const Configuration::Endpoint *object = m_catalogue->endpointNumbered(number);
+        const Configuration::Endpoint *object = m_catalogue->endpointByNumber(number);
         return object == nullptr ? std::string("?") : object->name;
     };
     if (m_availabilities.of(keeper).leaves(now)) {
@@ -520,7 +520,7 @@
 bool Home::mayRetry(const Pending &pending, const RunReport &report) const
 {
     const bool canGoOn = !report.callerSawBytes || pending.terms.resumable;
-    const bool runsLeft = pending.attempt < mostAttempts && pending.sends < pending.terms.mostRuns;
+    const bool runsLeft = pending.attempt < mostAttempts && pending.sends < pending.terms.maxRuns;
     const bool held = m_quarantine.holds(pending.request.work);
     return canGoOn && runsLeft && !held && (pending.terms.repeatable || !pending.mayHaveRun);
 }
@@ -557,8 +557,9 @@
 Base::TokenBucket &Home::budgetOf(const Pending &pending)
 {
     const Configuration::Policies &policies = m_catalogue->policies();
-    const double hosts = policies.retriesAreShared ? static_cast<double>(std::max(m_hosts, leastHostsSharing)) : 1.0;
-    return m_budgets.try_emplace(pending.terms.pool, policies.retryReserve / hosts, policies.mostRetries / hosts).first->second;
+    const double hosts = policies.retryBudgetIsShared ? static_cast<double>(std::max(m_hosts, leastHostsSharing)) : 1.0;
+    return m_budgets.try_emplace(pending.terms.pool, policies.initialRetryBudget / hosts, policies.maxRetryBudget / hosts)
+        .first->second;
 }
 
 void Home::withdraw(Pending &pending)
--- a/Source/Request/localwindow.cpp
+++ b/Source/Request/localwindow.cpp
@@ -36,7 +36,7 @@
 {
     const auto divisor = static_cast<std::uint32_t>(std::max<std::size_t>(1, hosts));
     const auto hasRoom = [&](std::uint32_t number) {
-        const Configuration::Endpoint *endpoint = catalogue.endpointNumbered(number);
+        const Configuration::Endpoint *endpoint = catalogue.endpointByNumber(number);
         return endpoint != nullptr && !endpoint->drained && !closed.contains(number)
             && running(number) < std::max(1U, endpoint->slots / divisor);
     };
--- a/Source/Request/quarantine.cpp
+++ b/Source/Request/quarantine.cpp
@@ -89,7 +89,7 @@
     }
     ++m_counters.suspected;
     const Peer::RunBroke broke {work, endpoint, justBegan};
-    for (const std::string &host : Membership::picked(Base::hexadecimal(work), m_members, countingHosts)) {
+    for (const std::string &host : Membership::selectMembers(Base::hexadecimal(work), m_members, countingHosts)) {
         if (host == m_self) {
             suspect(now, broke);
         } else {
--- a/Source/Scaling/scaler.cpp
+++ b/Source/Scaling/scaler.cpp
@@ -102,10 +102,10 @@
     }
 }
 
-bool Scaler::mayRepeat(Instant now, const Order &order, Duration start) const
+bool Scaler::mayRepeat(Instant now, const Order &order, Duration startupTime) const
 {
     const auto sent = std::ranges::find_if(m_sent, [&](const Sent &entry) { return sameSubject(entry.order, order); });
-    return sent == m_sent.end() || sent->order.count != order.count || now - sent->at >= start + repeatAfter;
+    return sent == m_sent.end() || sent->order.count != order.count || now - sent->at >= startupTime + repeatAfter;
 }
 
 std::vector<Order> Scaler::wantedOrders(Instant now, const std::vector<ScaledPool> &pools, bool idle)
@@ -116,7 +116,7 @@
         for (const Order &order : planFor(pool, baseOf(pool.pool))) {
             const DataCentreCounts &counts = countsOf(pool, order.dataCentre);
             const std::uint32_t there = order.preemptible ? counts.preemptible : counts.regular;
-            if (there == order.count || !mayRepeat(now, order, pool.terms.start)) {
+            if (there == order.count || !mayRepeat(now, order, pool.terms.startupTime)) {
                 continue;
             }
             const bool shrink = order.count < there;
@@ -170,11 +170,11 @@
     }
     std::optional<ScalerAction> action;
     const auto fence = m_lease.fence(now);
-    const Duration within = m_lease.timeToAct(now);
+    const Duration within = m_lease.remainingTime(now);
     if (fence && within >= leastOrderTime) {
         action = SendOrder {*fence, wanted.front(), within};
     } else if (m_lease.mayWrite(now)) {
-        m_lease.writing(now);
+        m_lease.writeStarted(now);
         action = WriteRow {m_lease.expectedVersion(), rowText({m_incarnation, m_host, m_bases})};
     } else if (now >= m_nextRead) {
         m_nextRead = now + readPeriod;
@@ -193,7 +193,7 @@
                   {{"duty", "scaling"}, {"reason", Base::messageOf(row.status())}});
         row = ScalingRow {};
     }
-    m_lease.seen(now, {stored.version, row->holder});
+    m_lease.updateRow(now, {stored.version, row->holder});
     m_rowHost = row->host;
     for (const PoolBase &base : row->bases) {
         m_rowHasBases = true;
@@ -222,7 +222,7 @@
 void Scaler::rowWritten(Instant now, WriteResult result, std::uint64_t version, const std::optional<Lease::StoredRow> &row)
 {
     m_busy = false;
-    m_lease.written(result, version);
+    m_lease.writeFinished(result, version);
     if (result != WriteResult::Done) {
         m_nextTry = now + retryPeriod;
         m_nextRead = now;
--- a/Source/Scaling/scaler.h
+++ b/Source/Scaling/scaler.h
@@ -89,7 +89,7 @@
 
 struct ScalerOptions
 {
-    Lease::LeaseTerms lease;
+    Lease::LeaseOptions lease;
     bool dry = false; ///< only tells what it would order
 };
 
@@ -121,7 +121,7 @@
     };
 
     std::vector<Order> wantedOrders(Base::Instant now, const std::vector<ScaledPool> &pools, bool idle);
-    bool mayRepeat(Base::Instant now, const Order &order, Base::Duration start) const;
+    bool mayRepeat(Base::Instant now, const Order &order, Base::Duration startupTime) const;
     void noteBases(Base::Instant now, const std::vector<ScaledPool> &pools);
     std::uint32_t baseOf(const std::string &pool) const;
     void takeRow(Base::Instant now, const Lease::StoredRow &row);
--- a/Source/Scaling/scalingplan.cpp
+++ b/Source/Scaling/scalingplan.cpp
@@ -67,15 +67,15 @@
     if (pool.terms.preemptiblePrice * surplus >= 1.0) {
         return {};
     }
-    const std::uint32_t regularFloor = std::max(1U, pool.terms.least);
-    const std::uint32_t room = pool.terms.most > regularFloor ? pool.terms.most - regularFloor : 0;
+    const std::uint32_t regularFloor = std::max(1U, pool.terms.minCount);
+    const std::uint32_t room = pool.terms.maxCount > regularFloor ? pool.terms.maxCount - regularFloor : 0;
     const std::uint32_t preemptible = std::min(room, dividedUp(base, dataCentres - 1));
     const bool enough = preemptibleOf(pool) >= std::min(base, static_cast<std::uint32_t>(preemptible * dataCentres));
     const bool allThere
         = std::ranges::all_of(pool.counts, [&](const DataCentreCounts &counts) { return counts.preemptible >= preemptible; });
     // The limit counts both kinds: regular endpoints first make room for the rest of the preemptible ones, and go when these
     // serve. When they went at once, a holder that was cut off then left 90 engines without any reserve, and a withdrawal 60.
-    const std::uint32_t besideAll = std::max(regularFloor, pool.terms.most - preemptible);
+    const std::uint32_t besideAll = std::max(regularFloor, pool.terms.maxCount - preemptible);
     const bool tooFew = static_cast<double>(totalOf(pool)) < leastShareServing * base;
     std::vector<Order> orders;
     for (const DataCentreCounts &counts : pool.counts) {
--- a/Source/Scaling/scalingplan.h
+++ b/Source/Scaling/scalingplan.h
@@ -28,7 +28,7 @@
 struct ScaledPool
 {
     std::string pool;
-    Configuration::ScalingTerms terms;
+    Configuration::ScalingParameters terms;
     std::vector<DataCentreCounts> counts; ///< of each data centre that has a price
 };
 
--- a/Source/Usage/usagereporter.cpp
+++ b/Source/Usage/usagereporter.cpp
@@ -75,7 +75,7 @@
     if (!action && m_lease.mayWrite(now)) {
         action = write(now, time, counts);
     }
-    if (!action && (m_lease.mustRead() || !holds) && now >= m_nextRead) {
+    if (!action && (m_lease.needsRead() || !holds) && now >= m_nextRead) {
         m_nextRead = now + readPeriod;
         action = ReadRow {};
     }
@@ -89,7 +89,7 @@
 std::optional<ReporterAction> UsageReporter::report(Instant now)
 {
     const auto fence = m_lease.fence(now);
-    const Duration within = m_lease.timeToAct(now);
+    const Duration within = m_lease.remainingTime(now);
     const auto next = std::ranges::find_if(m_pending, [](const Pending &pending) { return !pending.reported; });
     if (!fence || within < leastReportTime || next == m_pending.end()) {
         return std::nullopt;
@@ -111,7 +111,7 @@
         row.windows.erase(row.windows.begin(), row.windows.begin() + surplus);
     }
     m_written = row.windows;
-    m_lease.writing(now);
+    m_lease.writeStarted(now);
     return WriteRow {m_lease.expectedVersion(), rowText(std::move(row))};
 }
 
@@ -124,7 +124,7 @@
                   {{"duty", "usage"}, {"reason", Base::messageOf(row.status())}});
         row = UsageRow {};
     }
-    m_lease.seen(now, {result.version, row->holder});
+    m_lease.updateRow(now, {result.version, row->holder});
     m_rowHost = row->host;
     if (!row->windows.empty()) {
         // Also where this process began later: what hosts counted since then has yet to be fixed.
@@ -161,7 +161,7 @@
 void UsageReporter::rowWritten(Instant now, WriteResult result, std::uint64_t version, const std::optional<Lease::StoredRow> &row)
 {
     m_busy = false;
-    m_lease.written(result, version);
+    m_lease.writeFinished(result, version);
     if (result != WriteResult::Done) {
         m_nextTry = now + retryPeriod;
         m_nextRead = now;
--- a/Source/Usage/usagereporter.h
+++ b/Source/Usage/usagereporter.h
@@ -23,7 +23,7 @@
     /// After a window's end, until its counts have come from all hosts: they tell them each second, and plain requests count
     /// when they have been answered.
     Base::Duration fixAfter = std::chrono::milliseconds(2200);
-    Lease::LeaseTerms lease;
+    Lease::LeaseOptions lease;
 };
 
 /// Read the row; answer with rowRead().
--- a/Tests/Availability/endpointavailabilitiestest.cpp
+++ b/Tests/Availability/endpointavailabilitiestest.cpp
@@ -53,7 +53,7 @@
 TEST(EndpointAvailabilities, thatItLeavesIsBelievedForASetTime)
 {
     Configuration::CatalogueParts parts;
-    parts.policies.leavingKept = std::chrono::seconds(5);
+    parts.policies.leavingTimeout = std::chrono::seconds(5);
     known.updateView(*Configuration::Catalogue::assemble(std::move(parts)));
     known.said(at(0), 7, {.leaves = true});
     known.said(at(2), 7, {.leaves = true});
--- a/Tests/Configuration/siterecordstest.cpp
+++ b/Tests/Configuration/siterecordstest.cpp
@@ -109,7 +109,7 @@
     records.merge(follower.changesSince({}));
 
     // The follower does not believe that e1 is gone, and goes on with what changed later.
-    follower.expect({RecordKind::Endpoint, "e1", 8, true, ""});
+    follower.markUnconfirmed({RecordKind::Endpoint, "e1", 8, true, ""});
     follower.merge({RecordKind::Endpoint, "e2", 9, false, "other"});
     CHECK_TRUE(records.merge(follower.changesSince(records.revisions())));
     CHECK_EQUAL(2U, records.present(RecordKind::Endpoint).size());
--- a/Tests/Configuration/storetest.cpp
+++ b/Tests/Configuration/storetest.cpp
@@ -64,7 +64,7 @@
 
 TEST(Store, lostAnswerOfAnAppliedWriteIsSettledAsAccepted)
 {
-    table.fault = FakeTable::Fault::LoseAnswer;
+    table.fault = FakeTable::Fault::LoseResponse;
     CHECK_TRUE(commit(one, "create tier a rank 1").status.ok());
     CHECK_EQUAL(1U, first.revision());
 }
@@ -92,7 +92,7 @@
 
 TEST(Store, absentTableIsSurelyNotAccepted)
 {
-    table.away = true;
+    table.unreachable = true;
     CHECK_TRUE(Base::errorKind(commit(one, "create tier a rank 1").status) == ErrorKind::StoreUnavailable);
     CHECK_FALSE(poll(one));
     CHECK_EQUAL(0U, first.revision());
--- a/Tests/Dispatch/placementtest.cpp
+++ b/Tests/Dispatch/placementtest.cpp
@@ -125,9 +125,9 @@
 }
 
 /// Engines that can take kept prompts from each other.
-TEST_GROUP_BASE(MovingPrompts,
-                TEST_GROUP_CppUTestGroupSoonestFirstToken) {void setup() override {for (Candidate & engine
-                                                                                        : engines) {engine.movedTokensPerMs = 300;
+TEST_GROUP_BASE(MovingPrompts, TEST_GROUP_CppUTestGroupSoonestFirstToken) {
+    void setup() override {for (Candidate & engine
+                                : engines) {engine.transferTokensPerMs = 300;
 }
 placement.ended(placement.placed(ask(1, 100), engines[0], at(0)), {});
 }
@@ -181,10 +181,10 @@
 TEST(MovingPrompts, whatIsReadSoonerThanMovedIsRead)
 {
     for (Candidate &engine : engines) {
-        engine.movedTokensPerMs = 10;
+        engine.transferTokensPerMs = 10;
     }
     CHECK_EQUAL(0U, placement.placed(ask(1, 101), engines[1], at(5)).keeper);
-    engines[1].movedTokensPerMs = 0;
+    engines[1].transferTokensPerMs = 0;
     CHECK_EQUAL(0U, placement.placed(ask(1, 101), engines[1], at(5)).keeper);
 }
 
--- a/Tests/Lease/leasetest.cpp
+++ b/Tests/Lease/leasetest.cpp
@@ -23,24 +23,24 @@
 
 TEST_GROUP(Lease)
 {
-    Lease::Lease lease {{.actFor = milliseconds(2000), .quiet = milliseconds(3500)}, self};
+    Lease::Lease lease {{.validity = milliseconds(2000), .takeoverDelay = milliseconds(3500)}, self};
 
     void take(int ms, std::uint64_t version)
     {
-        lease.writing(at(ms));
-        lease.written(WriteResult::Done, version);
+        lease.writeStarted(at(ms));
+        lease.writeFinished(WriteResult::Done, version);
     }
 };
 
 TEST(Lease, nothingIsWrittenBeforeTheRowIsKnown)
 {
-    CHECK_TRUE(lease.mustRead());
+    CHECK_TRUE(lease.needsRead());
     CHECK_FALSE(lease.mayWrite(at(10'000)));
 }
 
 TEST(Lease, anAbsentRowIsTakenAtOnce)
 {
-    lease.seen(at(0), {0, 0});
+    lease.updateRow(at(0), {0, 0});
     CHECK_TRUE(lease.mayWrite(at(0)));
     CHECK_EQUAL(0U, lease.expectedVersion());
     take(0, 40);
@@ -49,34 +49,34 @@
 
 TEST(Lease, anothersRowIsTakenOnlyAfterItWasQuiet)
 {
-    lease.seen(at(0), {40, other});
+    lease.updateRow(at(0), {40, other});
     CHECK_FALSE(lease.mayWrite(at(3499)));
     CHECK_TRUE(lease.mayWrite(at(3500)));
 }
 
 TEST(Lease, aChangeOfAnothersRowBeginsTheWaitAnew)
 {
-    lease.seen(at(0), {40, other});
-    lease.seen(at(3000), {41, other});
+    lease.updateRow(at(0), {40, other});
+    lease.updateRow(at(3000), {41, other});
     CHECK_FALSE(lease.mayWrite(at(3600)));
     CHECK_TRUE(lease.mayWrite(at(6500)));
 }
 
 TEST(Lease, theRightIsCountedFromBeforeTheWriteLeft)
 {
-    lease.seen(at(0), {0, 0});
-    lease.writing(at(0));
+    lease.updateRow(at(0), {0, 0});
+    lease.writeStarted(at(0));
     // The answer came late.
-    lease.written(WriteResult::Done, 40);
+    lease.writeFinished(WriteResult::Done, 40);
     CHECK_TRUE(lease.fence(at(1999)).has_value());
     CHECK_FALSE(lease.fence(at(2000)).has_value());
-    CHECK_TRUE(lease.timeToAct(at(1500)) == milliseconds(500));
-    CHECK_TRUE(lease.timeToAct(at(5000)) == milliseconds(0));
+    CHECK_TRUE(lease.remainingTime(at(1500)) == milliseconds(500));
+    CHECK_TRUE(lease.remainingTime(at(5000)) == milliseconds(0));
 }
 
 TEST(Lease, theFenceStaysWhileTheHolderDoes)
 {
-    lease.seen(at(0), {0, 0});
+    lease.updateRow(at(0), {0, 0});
     take(0, 40);
     take(5000, 55);
     CHECK_EQUAL(40U, lease.fence(at(5100)).value());
@@ -85,12 +85,12 @@
 
 TEST(Lease, aLostAnswerGivesNoRightUntilTheRowWasReadAndWrittenAgain)
 {
-    lease.seen(at(0), {0, 0});
-    lease.writing(at(0));
-    lease.written(WriteResult::Undetermined, 0);
-    CHECK_TRUE(lease.mustRead());
+    lease.updateRow(at(0), {0, 0});
+    lease.writeStarted(at(0));
+    lease.writeFinished(WriteResult::Undetermined, 0);
+    CHECK_TRUE(lease.needsRead());
     CHECK_FALSE(lease.mayWrite(at(100)));
-    lease.seen(at(1600), {40, self});
+    lease.updateRow(at(1600), {40, self});
     CHECK_FALSE(lease.fence(at(1600)).has_value());
     CHECK_TRUE(lease.mayWrite(at(1600)));
     take(1600, 41);
@@ -99,12 +99,12 @@
 
 TEST(Lease, aRefusedWriteEndsTheRight)
 {
-    lease.seen(at(0), {0, 0});
+    lease.updateRow(at(0), {0, 0});
     take(0, 40);
-    lease.writing(at(1000));
-    lease.written(WriteResult::Refused, 0);
+    lease.writeStarted(at(1000));
+    lease.writeFinished(WriteResult::VersionMismatch, 0);
     CHECK_FALSE(lease.fence(at(1100)).has_value());
-    lease.seen(at(1100), {50, other});
+    lease.updateRow(at(1100), {50, other});
     CHECK_FALSE(lease.isHeld());
     CHECK_FALSE(lease.mayWrite(at(4000)));
     CHECK_TRUE(lease.mayWrite(at(4600)));
@@ -114,8 +114,8 @@
 
 TEST(Lease, anOlderReadSaysNothing)
 {
-    lease.seen(at(0), {50, other});
-    lease.seen(at(3000), {40, other});
+    lease.updateRow(at(0), {50, other});
+    lease.updateRow(at(3000), {40, other});
     CHECK_EQUAL(50U, lease.expectedVersion());
     CHECK_TRUE(lease.mayWrite(at(3500)));
 }
--- a/Tests/Membership/dutytest.cpp
+++ b/Tests/Membership/dutytest.cpp
@@ -30,7 +30,7 @@
     {
         std::set<std::string> names;
         for (const Member &member : members) {
-            if (Membership::isPicked(member.name, "store", members, count)) {
+            if (Membership::isSelected(member.name, "store", members, count)) {
                 names.insert(member.name);
             }
         }
@@ -76,5 +76,5 @@
 
 TEST(Duty, oneThatIsNoMemberIsNotPicked)
 {
-    CHECK_FALSE(Membership::isPicked("other", "store", members, 8));
+    CHECK_FALSE(Membership::isSelected("other", "store", members, 8));
 }
--- a/Tests/Node/linkedfleet.h
+++ b/Tests/Node/linkedfleet.h
@@ -149,7 +149,7 @@
     std::size_t hostsWith(Configuration::RecordKind kind, std::uint64_t version) const
     {
         return static_cast<std::size_t>(
-            std::ranges::count_if(m_hosts, [&](const auto &host) { return host->inForce.of(kind) >= version; }));
+            std::ranges::count_if(m_hosts, [&](const auto &host) { return host->inForce.forKind(kind) >= version; }));
     }
 
     /// How many hosts host @p index believes to be there, itself among them.
--- a/Tests/Node/storefollowertest.cpp
+++ b/Tests/Node/storefollowertest.cpp
@@ -64,7 +64,7 @@
     {
         std::set<std::size_t> found;
         for (std::size_t host = 0; host < hosts; ++host) {
-            if (!excused.contains(host) && fleet.inForce(host).of(kind) < newest.at(kind)) {
+            if (!excused.contains(host) && fleet.inForce(host).forKind(kind) < newest.at(kind)) {
                 found.insert(host);
             }
         }
--- a/Tests/Platform/dutyclienttest.cpp
+++ b/Tests/Platform/dutyclienttest.cpp
@@ -55,10 +55,10 @@
     CHECK_EQUAL(412U, done.version);
     const auto refused = readWriteAnswer(
         "usage", answered(412), R"({"rows":[{"key_file":"usage","value":"eA==","schema_version":9}],"schema_version":10})");
-    CHECK_TRUE(refused.result == WriteResult::Refused);
+    CHECK_TRUE(refused.result == WriteResult::VersionMismatch);
     CHECK_EQUAL(9U, refused.row->version);
-    CHECK_TRUE(readWriteAnswer("usage", answered(503), "").result == WriteResult::NotDone);
-    CHECK_TRUE(readWriteAnswer("usage", answered(429), "").result == WriteResult::NotDone);
+    CHECK_TRUE(readWriteAnswer("usage", answered(503), "").result == WriteResult::NotApplied);
+    CHECK_TRUE(readWriteAnswer("usage", answered(429), "").result == WriteResult::NotApplied);
 }
 
 /// Only the store's own word, or a call that never left, says that nothing was done.
@@ -74,5 +74,5 @@
     cut.status = 503;
     CHECK_TRUE(readWriteAnswer("usage", cut, "").result == WriteResult::Undetermined);
     cut.stage = TransferStage::NotSent;
-    CHECK_TRUE(readWriteAnswer("usage", cut, "").result == WriteResult::NotDone);
+    CHECK_TRUE(readWriteAnswer("usage", cut, "").result == WriteResult::NotApplied);
 }
--- a/Tests/Platform/siteformtest.cpp
+++ b/Tests/Platform/siteformtest.cpp
@@ -50,7 +50,7 @@
     const RequestClass &first = parts->classes.front();
     CHECK_EQUAL(3, first.rank);
     CHECK_TRUE(first.repeatable && first.resumable && first.deadlineEndsRun);
-    CHECK_EQUAL(2U, first.mostRuns);
+    CHECK_EQUAL(2U, first.maxRuns);
     CHECK_TRUE(first.deadline == std::chrono::seconds(6));
     CHECK_TRUE(first.tokenGap == std::chrono::milliseconds(1500));
     CHECK_EQUAL(2U, parts->routes.front().shares.size());
@@ -74,8 +74,8 @@
     const auto parts = Platform::decodeSite(records);
     CHECK_EQUAL(2U, parts->endpoints.size());
     CHECK_FALSE(parts->endpoints[0].drained);
-    CHECK_EQUAL(391784U, parts->endpoints[0].memoryTokens);
-    DOUBLES_EQUAL(2500.0, parts->endpoints[0].movedTokensPerMs, 0.001);
+    CHECK_EQUAL(391784U, parts->endpoints[0].kvCacheTokens);
+    DOUBLES_EQUAL(2500.0, parts->endpoints[0].transferTokensPerMs, 0.001);
     CHECK_TRUE(parts->endpoints[1].drained);
     CHECK_EQUAL(records.revision(), parts->revision);
     CHECK_EQUAL(17U, parts->revision);
@@ -85,7 +85,7 @@
 {
     const std::string still = R"({"routes":[],"services":[{"name":"llm","engine":{"kv_bytes":16000,"link_mbps":320000.0}}]})";
     records.merge({RecordKind::Configuration, "config", 9, false, still});
-    DOUBLES_EQUAL(0.0, Platform::decodeSite(records)->endpoints[0].movedTokensPerMs, 0.001);
+    DOUBLES_EQUAL(0.0, Platform::decodeSite(records)->endpoints[0].transferTokensPerMs, 0.001);
 }
 
 TEST(SiteForm, aBrokenConfigurationIsATypedError)
@@ -134,10 +134,10 @@
                        "spot_price":0.18,"zone_prices":{"a":0.85,"b":1.2}}},{"name":"other"}]})"});
     endpoint("i-3", 9, R"({"service":"llm","address":"10.0.0.7:80","zone":"b","slots":64,"state":"ready","preemptible":true})");
     const auto parts = Platform::decodeSite(records);
-    const ScalingTerms &scaling = *parts->pools.front().scaling;
-    CHECK_EQUAL(1U, scaling.least);
-    CHECK_EQUAL(60U, scaling.most);
-    CHECK_TRUE(scaling.start == std::chrono::seconds(4));
+    const ScalingParameters &scaling = *parts->pools.front().scaling;
+    CHECK_EQUAL(1U, scaling.minCount);
+    CHECK_EQUAL(60U, scaling.maxCount);
+    CHECK_TRUE(scaling.startupTime == std::chrono::seconds(4));
     DOUBLES_EQUAL(0.18, scaling.preemptiblePrice, 1e-9);
     CHECK_EQUAL(2U, scaling.prices.size());
     CHECK_FALSE(parts->pools.back().scaling.has_value());
--- a/Tests/Request/fleetload.h
+++ b/Tests/Request/fleetload.h
@@ -40,8 +40,8 @@
     std::uint32_t slots = 32;
     std::uint32_t engineQueue = 67; ///< requests that wait at an engine; it rejects those beyond
     double tokensPerMs = 36.7; ///< of prompts, that an engine reads
-    std::uint64_t memoryTokens = 506'735;
-    double movedTokensPerMs = 1220.0; ///< of a kept prompt, over an engine's link of 180 Gbit/s at 18,432 bytes a token
+    std::uint64_t kvCacheTokens = 506'735;
+    double transferTokensPerMs = 1220.0; ///< of a kept prompt, over an engine's link of 180 Gbit/s at 18,432 bytes a token
     Base::Duration event = std::chrono::milliseconds(70); ///< between the events of a stream
     Base::Duration way = std::chrono::microseconds(900); ///< of a message between two hosts
     Base::Duration engineStarts = std::chrono::milliseconds(3300); ///< until an engine that was ended by a request is back
@@ -53,9 +53,9 @@
                                       .ejectSlow = false,
                                       .refuseLate = true,
                                       .retryPercent = 20,
-                                      .retryReserve = 252.0,
-                                      .mostRetries = 252.0,
-                                      .retriesAreShared = true,
+                                      .initialRetryBudget = 252.0,
+                                      .maxRetryBudget = 252.0,
+                                      .retryBudgetIsShared = true,
                                       .wholePoolShards = true};
 };
 
@@ -340,7 +340,7 @@
             requestClass.deadline = stream.deadline;
             requestClass.starvationBound = stream.deadline / 2;
             requestClass.deadlineEndsRun = true;
-            requestClass.mostRuns = 2;
+            requestClass.maxRuns = 2;
             parts.classes.push_back(requestClass);
         }
         for (std::size_t index = 0; index < m_options.engines; ++index) {
@@ -349,8 +349,8 @@
             endpoint.name = fmt::format("e{}", index);
             endpoint.pool = poolNumber;
             endpoint.slots = m_options.slots;
-            endpoint.memoryTokens = m_options.memoryTokens;
-            endpoint.movedTokensPerMs = m_options.movedTokensPerMs;
+            endpoint.kvCacheTokens = m_options.kvCacheTokens;
+            endpoint.transferTokensPerMs = m_options.transferTokensPerMs;
             parts.endpoints.push_back(endpoint);
         }
         m_catalogue = Configuration::Catalogue::assemble(std::move(parts));
--- a/Tests/Request/fleetloadtest.cpp
+++ b/Tests/Request/fleetloadtest.cpp
@@ -51,9 +51,9 @@
     options.engines = 9;
     options.slots = 64;
     options.tokensPerMs = 48.2;
-    options.memoryTokens = 391'784;
-    options.policies.retryReserve = 22.4;
-    options.policies.mostRetries = 22.4;
+    options.kvCacheTokens = 391'784;
+    options.policies.initialRetryBudget = 22.4;
+    options.policies.maxRetryBudget = 22.4;
     return options;
 }
 
@@ -201,7 +201,7 @@
             streams.push_back(
                 {"alike", 1, 200.0, 1, 0, 100, 3, std::chrono::milliseconds(400), std::chrono::milliseconds(4000), true});
             Tests::FleetLoadOptions options = smallSite();
-            options.policies.mostEndings = holding ? 3 : 0;
+            options.policies.maxCrashes = holding ? 3 : 0;
             FleetLoad load(options, streams, seed);
             for (int wave = 0; wave < 6; ++wave) {
                 load.run(std::chrono::milliseconds(1500));
@@ -408,7 +408,7 @@
 TEST(FleetLoad, anEngineThatLeftAndCameBackGetsItsShareAgain)
 {
     Tests::FleetLoadOptions options = smallSite();
-    options.policies.leavingKept = std::chrono::seconds(5);
+    options.policies.leavingTimeout = std::chrono::seconds(5);
     FleetLoad load(options, smallSiteStreams(), 1);
     load.run(std::chrono::seconds(4));
     load.sayLeaving(0, true);
--- a/Tests/Request/hometest.cpp
+++ b/Tests/Request/hometest.cpp
@@ -139,7 +139,7 @@
 {
     Configuration::CatalogueParts parts;
     parts.classes = catalogue->classes();
-    std::ranges::for_each(parts.classes, [](Configuration::RequestClass &requestClass) { requestClass.mostRuns = 1; });
+    std::ranges::for_each(parts.classes, [](Configuration::RequestClass &requestClass) { requestClass.maxRuns = 1; });
     parts.pools = catalogue->pools();
     parts.endpoints = catalogue->endpoints();
     catalogue = Configuration::Catalogue::assemble(parts);
--- a/Tests/Request/journaltest.cpp
+++ b/Tests/Request/journaltest.cpp
@@ -35,7 +35,7 @@
 
 TEST(Journal, lostAnswerOfAClaimThatStandsIsMine)
 {
-    table.fault = FakeTable::Fault::LoseAnswer;
+    table.fault = FakeTable::Fault::LoseResponse;
     CHECK_TRUE(claim(one, "k").first == ClaimResult::Mine);
 }
 
@@ -47,7 +47,7 @@
 
 TEST(Journal, absentTableIsUnavailable)
 {
-    table.away = true;
+    table.unreachable = true;
     CHECK_TRUE(claim(one, "k").first == ClaimResult::Unavailable);
 }
 
@@ -56,11 +56,11 @@
     const auto claimed = claim(one, "k");
     OperationRecord ended = claimed.second;
     ended.outcome = Outcome::Completed;
-    table.away = true;
+    table.unreachable = true;
     one.record("k", ended);
     one.flush();
     CHECK_EQUAL(1U, one.waiting());
-    table.away = false;
+    table.unreachable = false;
     one.flush();
     CHECK_EQUAL(0U, one.waiting());
     CHECK_TRUE(claim(two, "k").second.outcome == Outcome::Completed);
--- a/Tests/Scaling/scalertest.cpp
+++ b/Tests/Scaling/scalertest.cpp
@@ -90,7 +90,7 @@
 TEST(ScalingPlan, theLimitCountsBothKinds)
 {
     ScaledPool large = atStart();
-    large.terms.most = 40;
+    large.terms.maxCount = 40;
     CHECK_EQUAL(39, ordered(planFor(large, base), "a", true));
 }
 
--- a/Tests/Usage/usagereportertest.cpp
+++ b/Tests/Usage/usagereportertest.cpp
@@ -39,7 +39,7 @@
 {
     std::size_t hosts = 9;
     double faultsASecond = 0.4;
-    Lease::LeaseTerms lease;
+    Lease::LeaseOptions lease;
     Duration length = std::chrono::seconds(90);
 };
 
@@ -409,7 +409,7 @@
             return;
         }
         if (m_now < m_storeDownUntil) {
-            deliver(host, life, m_now + milliseconds(5), [handler] { handler(WriteResult::NotDone, 0, std::nullopt); });
+            deliver(host, life, m_now + milliseconds(5), [handler] { handler(WriteResult::NotApplied, 0, std::nullopt); });
             return;
         }
         const bool lost = m_now < m_loseUntil || m_now < m_swallowUntil;
@@ -421,7 +421,7 @@
                            const bool done = commit(expected, value);
                            if (!unanswered) {
                                deliver(host, life, m_now + time / 2, [handler, done, seen = row()] {
-                                   handler(done ? WriteResult::Done : WriteResult::Refused, done ? seen.version : 0,
+                                   handler(done ? WriteResult::Done : WriteResult::VersionMismatch, done ? seen.version : 0,
                                            done ? std::nullopt : std::optional(seen));
                                });
                            }
@@ -563,7 +563,7 @@
 {
     std::uint64_t seen = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-        Simulation simulation({.lease = {.actFor = milliseconds(4000), .quiet = milliseconds(600)}}, seed);
+        Simulation simulation({.lease = {.validity = milliseconds(4000), .takeoverDelay = milliseconds(600)}}, seed);
         simulation.run();
         seen += simulation.violations().all();
     }
--- a/Tests/faketable.h
+++ b/Tests/faketable.h
@@ -18,13 +18,13 @@
     enum class Fault {
         None,
         Away, ///< nothing is sent
-        LoseAnswer, ///< applied, and the answer lost
+        LoseResponse, ///< applied, and the answer lost
         LoseRequest, ///< not applied, and the answer lost
     };
 
     void range(const Platform::RangeRead &read, const Platform::RangeHandler &handler)
     {
-        if (away) {
+        if (unreachable) {
             handler(makeError(Base::ErrorKind::StoreUnavailable, "away"));
             return;
         }
@@ -44,7 +44,7 @@
     {
         ++transactions;
         const Fault now = std::exchange(fault, Fault::None);
-        if (away || now == Fault::Away) {
+        if (unreachable || now == Fault::Away) {
             handler(Platform::TransactionResult::NotSent);
             return;
         }
@@ -56,22 +56,22 @@
             const auto row = rows.find(guard.key);
             const bool holds = guard.value ? row != rows.end() && row->second == *guard.value : row == rows.end();
             if (!holds) {
-                handler(now == Fault::LoseAnswer ? Platform::TransactionResult::Undetermined
-                                                 : Platform::TransactionResult::GuardFailed);
+                handler(now == Fault::LoseResponse ? Platform::TransactionResult::Undetermined
+                                                   : Platform::TransactionResult::GuardFailed);
                 return;
             }
         }
         for (const Platform::Row &row : transaction.puts) {
             rows[row.key] = row.value;
         }
-        handler(now == Fault::LoseAnswer ? Platform::TransactionResult::Undetermined : Platform::TransactionResult::Done);
+        handler(now == Fault::LoseResponse ? Platform::TransactionResult::Undetermined : Platform::TransactionResult::Done);
     }
 
     std::map<std::string, std::string> rows;
     Fault fault = Fault::None; ///< of the next transaction
     std::map<std::string, std::string> olderRows;
     int staleReads = 0; ///< answered from olderRows, as one that crossed a change on its way
-    bool away = false;
+    bool unreachable = false;
     int transactions = 0;
 };
 
