--- a/Source/Dispatch/endpointstates.cpp
+++ b/Source/Dispatch/endpointstates.cpp
@@ -110,7 +110,7 @@
         if (state.acceptsWork()) {
             const bool isOpen = state.rateLimiter.left(now) > 0 && state.cooldowns.allowsAnyHome(now);
             std::vector<Candidate> &found = isOpen ? open : used;
-            found.push_back({number, state.running, std::max(1U, state.slots), state.memoryTokens, state.movedTokensPerMs});
+            found.push_back({number, state.running, std::max(1U, state.slots), state.kvCacheTokens, state.transferTokensPerMs});
         }
     }
     return open.empty() ? used : open;
--- a/Source/Dispatch/soonestfirsttoken.cpp
+++ b/Source/Dispatch/soonestfirsttoken.cpp
@@ -212,10 +212,10 @@
     const Engine *engine = engineOf(candidate.endpoint);
     PrefillPlan plan;
     plan.cachedTokens = engine == nullptr ? 0 : cachedTokensAt(*engine, ask);
-    if (candidate.movedTokensPerMs > 0 && keeper.tokens > plan.cachedTokens && keeper.endpoint != candidate.endpoint) {
+    if (candidate.transferTokensPerMs > 0 && keeper.tokens > plan.cachedTokens && keeper.endpoint != candidate.endpoint) {
         const std::uint32_t transferred = keeper.tokens - plan.cachedTokens;
         const Base::Duration transferTime
-            = keeper.linkBusy + transferSetupTime + fromMs(transferred / candidate.movedTokensPerMs);
+            = keeper.linkBusy + transferSetupTime + fromMs(transferred / candidate.transferTokensPerMs);
         if (timeToPrefill(transferred) > transferTime * minTransferGain) {
             plan.cachedTokens = keeper.tokens;
             plan.keeper = keeper.endpoint;
@@ -257,12 +257,12 @@
 bool SoonestFirstToken::fits(const QueuedAsk &ask, const Candidate &candidate, std::uint64_t kvTokens) const
 {
     const Engine *engine = engineOf(candidate.endpoint);
-    if (engine == nullptr || candidate.memoryTokens == 0 || engine->runningTokens == 0) {
+    if (engine == nullptr || candidate.kvCacheTokens == 0 || engine->runningTokens == 0) {
         return true;
     }
     const bool mostUrgent = ask.parameters.tightestAbove == Base::Duration::zero();
     const double share = mostUrgent ? runningMemoryShareOfMostUrgent : runningMemoryShare;
-    const auto most = static_cast<std::uint64_t>(share * static_cast<double>(candidate.memoryTokens));
+    const auto most = static_cast<std::uint64_t>(share * static_cast<double>(candidate.kvCacheTokens));
     return engine->runningTokens + kvTokens <= most;
 }
 
@@ -369,9 +369,9 @@
     engine.activePrefill[run.rank] += run.prefillTime;
     engine.runningTokens += run.kvTokens;
     engine.cache.insert(chainOf(ask), now + scaled(backlog + plan.transferTime + run.prefillTime, prefillMargin));
-    if (candidate.memoryTokens > 0) {
+    if (candidate.kvCacheTokens > 0) {
         // Runs and kept prompts share the memory; what runs does not give way.
-        engine.cache.shrink(candidate.memoryTokens - std::min(candidate.memoryTokens, engine.runningTokens));
+        engine.cache.shrink(candidate.kvCacheTokens - std::min(candidate.kvCacheTokens, engine.runningTokens));
     }
     return run;
 }
--- a/Source/Node/fleet.cpp
+++ b/Source/Node/fleet.cpp
@@ -226,8 +226,8 @@
     Base::log(Base::LogLevel::Info, Base::LogEvent::ChangesSent,
               {{"to", to},
                {"kind", Base::nameOf(Configuration::recordKindNames, kind)},
-               {"since", since.of(kind)},
-               {"version", m_records.revisions().of(kind)},
+               {"since", since.forKind(kind)},
+               {"version", m_records.revisions().forKind(kind)},
                {"base", packed->base},
                {"bytes", packed->bytes.size()}});
     m_callbacks.send(addressOf(to), Peer::Changes {{}, {}, std::move(packed->bytes), packed->base});
@@ -320,7 +320,7 @@
 /// silent, and it takes a second or two until the next by rank has heard of it.
 void Fleet::replaceUnresponsiveFollowers(Base::Instant now)
 {
-    for (const std::string &name : m_swim.takeFoundSilent()) {
+    for (const std::string &name : m_swim.takeNewSuspects()) {
         if (std::ranges::find(m_followers, name) != m_followers.end()) {
             m_substituteUntil = now + substituteDuration;
         }
@@ -335,7 +335,7 @@
     std::ranges::copy_if(presentMembers, std::back_inserter(unsuspected), [this](const Peer::Member &member) {
         return member.state != Peer::MemberState::Suspect || member.name == m_settings.name;
     });
-    m_followers = Membership::picked(followDuty, unsuspected, m_settings.storeFollowers);
+    m_followers = Membership::selectMembers(followDuty, unsuspected, m_settings.storeFollowers);
     m_isSelected = std::ranges::find(m_followers, m_settings.name) != m_followers.end();
     m_nonFollowers.clear();
     for (const Peer::Member &member : unsuspected) {
@@ -429,7 +429,7 @@
 
 void Fleet::markRecordPending(const Configuration::Record &record)
 {
-    m_records.expect(record);
+    m_records.markUnconfirmed(record);
     m_swim.setRevision(m_records.digest());
 }
 
@@ -446,7 +446,7 @@
     // Changes that come together are decoded together, at the next tick.
     m_recordsChanged = true;
     // The others follow the store too, or ask for what they lack.
-    m_swim.tellRevision(gossipFanout);
+    m_swim.announceRevision(gossipFanout);
     flushMembership();
 }
 
--- a/Source/Node/operatorserver.cpp
+++ b/Source/Node/operatorserver.cpp
@@ -198,7 +198,7 @@
     const Http::Request &request = exchange->request();
     Configuration::CommitRequest commit;
     commit.commands = std::move(commands);
-    commit.by = account.name;
+    commit.author = account.name;
     commit.reason = header(request, "yokepond-reason");
     commit.dryRun = header(request, "yokepond-dry-run") == "yes";
     if (const std::string revision = header(request, "yokepond-if-revision"); !revision.empty()) {
