--- a/Source/Dispatch/shard.cpp
+++ b/Source/Dispatch/shard.cpp
@@ -181,7 +181,7 @@
         return;
     }
     entry->second.replaced = true;
-    Base::log(Base::LogLevel::Warning, Base::LogEvent::EndpointGone,
+    Base::log(Base::LogLevel::Warning, Base::LogEvent::EndpointReplaced,
               {{"endpoint", endpoint}, {"permits", entry->second.running}});
     markUnusableUnreliable();
     refuseAllIfNoEndpoint();
@@ -340,7 +340,7 @@
 {
     if (reason == RefusalReason::QueueFull && std::holds_alternative<TieredOrder>(m_order)) {
         const std::size_t ofTierOrAbove = std::get<TieredOrder>(m_order).aheadOf(ask.parameters.rank);
-        Base::require(ofTierOrAbove == queued(), Base::Invariant::HigherTierKept);
+        Base::checkInvariant(ofTierOrAbove == queued(), Base::Invariant::HigherTierKept);
     }
     refuse(ask, reason, retryAfter());
 }
@@ -448,7 +448,7 @@
         EndpointState &state = m_endpoints[permit->second.endpoint];
         const ClassParameters &parameters = permit->second.parameters;
         const bool failed = release.result == RunResult::Failed || release.result == RunResult::Unreachable;
-        const bool errorResponse = release.result == RunResult::AnsweredError;
+        const bool errorResponse = release.result == RunResult::ErrorResponse;
         if (errorResponse || release.result == RunResult::Failed || release.result == RunResult::Completed) {
             state.cooldowns.recordAcceptance();
         }
@@ -462,7 +462,7 @@
         dropPermit(key, {release.firstToken, {release.gap, release.longestGap}});
         ejectUnhealthy(now);
     }
-    if (release.result == RunResult::Refused) {
+    if (release.result == RunResult::Rejected) {
         recordRejectedRun(now, home, release.endpoint);
     }
     if (release.result == RunResult::EndpointReplaced) {
@@ -505,7 +505,7 @@
     dispatchQueued(now, maxSkippedPerEvent);
 }
 
-void Shard::applyEndpointUpdate(Instant now, const Home &home, const Peer::EndpointNews &news)
+void Shard::applyEndpointUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &news)
 {
     const auto endpoint = m_endpoints.find(news.endpoint);
     if (endpoint != m_endpoints.end()) {
@@ -517,7 +517,7 @@
 
 /// Every run at an endpoint that limits its rate is to be counted, and only the dispatcher sees them all. What it counts by it
 /// has from the homes: those whose runs were told, and those that know better than a grant that comes to them.
-void Shard::applyRateUpdate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
+void Shard::applyRateUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state)
 {
     const Rate::RateState before = state.rateLimiter.rate();
     if (state.rateLimiter.applyUpdate(now, Rate::rateStateFrom(news.rate, now))) {
@@ -526,25 +526,25 @@
     }
 }
 
-void Shard::applyLeavingUpdate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
+void Shard::applyLeavingUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state)
 {
     if (news.availability.leavingFor == Duration::zero()) {
         return;
     }
     state.leavingUntil = std::max(state.leavingUntil, now + news.availability.leavingFor);
     if (!std::exchange(state.announcedLeaving, true)) {
-        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaves, {{"endpoint", news.endpoint}, {"source", home.name}});
+        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaving, {{"endpoint", news.endpoint}, {"source", home.name}});
         markUnusableUnreliable();
         refuseAllIfNoEndpoint();
     }
 }
 
-void Shard::applyCooldownUpdate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
+void Shard::applyCooldownUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state)
 {
     if (news.availability.cooldownFor == Duration::zero()) {
         return;
     }
-    Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointRests,
+    Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointCooldown,
               {{"endpoint", news.endpoint},
                {"for-ms", Base::milliseconds(news.availability.cooldownFor)},
                {"rested", !state.cooldowns.allows(now, home.incarnation)},
@@ -769,8 +769,8 @@
                             state.transferTokensPerMs};
     const PlacedRun placed
         = std::visit([&](auto &placement) { return placement.recordPlacement(ask, chosen, now); }, m_placement);
-    Base::require(state.isUsable(), Base::Invariant::LeavingGetsNothing);
-    Base::require(!m_permits.contains(ask.key), Base::Invariant::AnsweredOnce);
+    Base::checkInvariant(state.isUsable(), Base::Invariant::NoWorkWhenLeaving);
+    Base::checkInvariant(!m_permits.contains(ask.key), Base::Invariant::AnsweredOnce);
     ++state.running;
     const Rate::RateInfo rate = state.rateLimiter.rate().info(now);
     state.rateLimiter.spend(now);
@@ -796,7 +796,7 @@
 
 void Shard::checkPermits() const
 {
-    Base::require(totalRunning(m_endpoints) == m_permits.size(), Base::Invariant::PermitsWithinGrants);
+    Base::checkInvariant(totalRunning(m_endpoints) == m_permits.size(), Base::Invariant::PermitsWithinGrants);
 }
 
 void Shard::handOver()
--- a/Source/Dispatch/shard.h
+++ b/Source/Dispatch/shard.h
@@ -73,7 +73,7 @@
     void report(Base::Instant now, const Home &home, const Peer::RunningReport &report);
 
     /// A home knows something of an endpoint by the endpoint's own answers.
-    void applyEndpointUpdate(Base::Instant now, const Home &home, const Peer::EndpointNews &news);
+    void applyEndpointUpdate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news);
 
     /// Drops all asks and permits of a home that is dead; an incarnation of 0 stands for all but @p keep.
     void removeHome(Base::Instant now, const std::string &name, std::uint64_t keep);
@@ -140,9 +140,9 @@
     void refuseLate(Base::Instant now);
     void dropExpiredPermits(Base::Instant now);
     void ejectUnhealthy(Base::Instant now);
-    void applyRateUpdate(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
-    void applyLeavingUpdate(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
-    void applyCooldownUpdate(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
+    void applyRateUpdate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state);
+    void applyLeavingUpdate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state);
+    void applyCooldownUpdate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state);
     void recordRejectedRun(Base::Instant now, const Home &home, std::uint32_t endpoint);
     void expireAnnouncements(Base::Instant now);
     bool isAllowed(Base::Instant now, const QueuedAsk &ask, std::uint32_t endpoint) const;
--- a/Source/Dispatch/soonestfirsttoken.cpp
+++ b/Source/Dispatch/soonestfirsttoken.cpp
@@ -427,7 +427,7 @@
     m_tokensPerMs += poolWeightOfOneEngine * (engine.tokensPerMs - m_tokensPerMs);
     if (std::abs(m_tokensPerMs - m_loggedTokensPerMs) > minLoggedChange * m_loggedTokensPerMs) {
         m_loggedTokensPerMs = m_tokensPerMs;
-        Base::log(Base::LogLevel::Info, Base::LogEvent::ReadingSpeedLearned,
+        Base::log(Base::LogLevel::Info, Base::LogEvent::PrefillSpeedLearned,
                   {{"tokens-per-ms", m_tokensPerMs},
                    {"endpoint", run.endpoint},
                    {"unread", run.prefillTokens},
--- a/Source/Node/frontend.cpp
+++ b/Source/Node/frontend.cpp
@@ -254,7 +254,7 @@
     request.expectedTokens = call.expectedTokens;
     request.rank = admitted.rank;
     request.timeLeft = call.timeLeft;
-    admitted.work = Base::mixed(call.work, admitted.organisation);
+    admitted.work = Base::combineHashes(call.work, admitted.organisation);
     request.work = admitted.work;
     request.streams = call.streams || admitted.requestClass.streams;
     m_admitted.emplace(call.id, std::move(admitted));
@@ -290,7 +290,7 @@
         return;
     }
     case OperationState::ResponseDropped:
-        refuse(call.id, makeError(ErrorKind::AnswerNotHeld, "the operation completed; its answer is no longer held"),
+        refuse(call.id, makeError(ErrorKind::ResponseNotStored, "the operation completed; its answer is no longer held"),
                Outcome::Completed);
         return;
     case OperationState::Unknown:
@@ -414,7 +414,7 @@
         return;
     }
     if (record.outcome == Outcome::Completed) {
-        refuse(call.id, makeError(ErrorKind::AnswerNotHeld, "the operation completed; its answer is not held here"),
+        refuse(call.id, makeError(ErrorKind::ResponseNotStored, "the operation completed; its answer is not held here"),
                Outcome::Completed);
         return;
     }
@@ -436,7 +436,7 @@
             refuse(call.call,
                    makeError(ErrorKind::KeyReused, "the Idempotency-Key was used for another request; take a new one"));
         } else if (record != nullptr && record->outcome == Outcome::Completed) {
-            refuse(call.call, makeError(ErrorKind::AnswerNotHeld, "the operation completed; its answer is not held any more"),
+            refuse(call.call, makeError(ErrorKind::ResponseNotStored, "the operation completed; its answer is not held any more"),
                    Outcome::Completed);
         } else {
             refuse(call.call,
@@ -480,8 +480,9 @@
             answer(call, std::move(copy));
         } else {
             refuse(call,
-                   error.ok() ? makeError(ErrorKind::AnswerNotHeld, "the operation completed; its answer was too large to hold")
-                              : error,
+                   error.ok()
+                       ? makeError(ErrorKind::ResponseNotStored, "the operation completed; its answer was too large to hold")
+                       : error,
                    outcome);
         }
     }
@@ -567,10 +568,10 @@
     if (const auto disconnected = m_admitted.find(over.report.id.request); disconnected != m_admitted.end()) {
         const AdmittedRequest admitted = std::move(disconnected->second);
         m_admitted.erase(disconnected);
-        logRequestEnd(admitted, Outcome::Unknown, makeError(ErrorKind::CallerGone, "the caller went away while it ran"));
+        logRequestEnd(admitted, Outcome::Unknown, makeError(ErrorKind::CallerDisconnected, "the caller went away while it ran"));
         const Outcome outcome = over.report.stage == Request::RunStage::Stale ? Outcome::NotRun : Outcome::Unknown;
         finishOperation(admitted, outcome, std::nullopt,
-                        makeError(ErrorKind::CallerGone, "the caller that began the operation went away"));
+                        makeError(ErrorKind::CallerDisconnected, "the caller that began the operation went away"));
     }
 }
 
@@ -623,10 +624,11 @@
     if (m_home.active() < before) {
         // It had not started, so that it ends here.
         m_admitted.erase(id);
-        logRequestEnd(admitted, Outcome::NotRun, makeError(ErrorKind::CallerGone, "the caller went away before it ran"));
+        logRequestEnd(admitted, Outcome::NotRun, makeError(ErrorKind::CallerDisconnected, "the caller went away before it ran"));
         if (operation) {
-            finishOperation(admitted, Outcome::NotRun, std::nullopt,
-                            makeError(ErrorKind::CallerGone, "the caller that began the operation went away before it ran"));
+            finishOperation(
+                admitted, Outcome::NotRun, std::nullopt,
+                makeError(ErrorKind::CallerDisconnected, "the caller that began the operation went away before it ran"));
         }
     }
 }
--- a/Source/Node/recordwatcher.h
+++ b/Source/Node/recordwatcher.h
@@ -212,7 +212,7 @@
     {
         const Base::Instant now = m_options.clock();
         table.calling = false;
-        if (!page.ok() && Base::errorKind(page.status()) == Base::ErrorKind::HistoryGone) {
+        if (!page.ok() && Base::errorKind(page.status()) == Base::ErrorKind::HistoryCompacted) {
             table.needsFullRead = true;
             table.nextCallAt = now;
             return;
--- a/Source/Node/storefollower.h
+++ b/Source/Node/storefollower.h
@@ -138,7 +138,7 @@
     void storeStateChanged(const StoreUpdate &news)
     {
         Base::log(news.responds ? Base::LogLevel::Info : Base::LogLevel::Warning,
-                  news.responds ? Base::LogEvent::StoreBack : Base::LogEvent::StoreLost,
+                  news.responds ? Base::LogEvent::StoreRecovered : Base::LogEvent::StoreLost,
                   {{"platform", m_options.platform},
                    {"revision", m_fleet.revision()},
                    {"kind", Base::nameOf(Configuration::recordKindNames, news.kind)},
