--- a/Source/Peer/codec.cpp
+++ b/Source/Peer/codec.cpp
@@ -101,22 +101,22 @@
     return members;
 }
 
-void encodeRate(const Rate::RateWord &rate, Wire::RateWord::Builder builder)
+void encodeRate(const Rate::RateInfo &rate, Wire::RateWord::Builder builder)
 {
-    builder.setKnowledge(static_cast<std::uint8_t>(rate.knowledge));
+    builder.setKnowledge(static_cast<std::uint8_t>(rate.kind));
     builder.setPerSecond(rate.perSecond);
     builder.setAgeMs(toMilliseconds(rate.age));
 }
 
 /// Returns an unknown rate for a value that is negative, infinite or not a number, and limits others to the largest rate.
-Rate::RateWord decodeRate(Wire::RateWord::Reader reader)
+Rate::RateInfo decodeRate(Wire::RateWord::Reader reader)
 {
-    const auto knowledge = checkedEnum(Rate::knowledgeNames, reader.getKnowledge());
+    const auto kind = checkedEnum(Rate::rateKindNames, reader.getKnowledge());
     const double perSecond = reader.getPerSecond();
-    if (!knowledge || !std::isfinite(perSecond) || perSecond < 0) {
+    if (!kind || !std::isfinite(perSecond) || perSecond < 0) {
         return {};
     }
-    return {*knowledge, std::min(perSecond, Rate::largestRate), fromMilliseconds(reader.getAgeMs())};
+    return {*kind, std::min(perSecond, Rate::largestRate), fromMilliseconds(reader.getAgeMs())};
 }
 
 void encodeHeaders(const std::vector<ForwardedHeader> &headers, capnp::List<Wire::ForwardedHeader>::Builder list)
@@ -177,7 +177,7 @@
         builder.setStartByUs(toMicroseconds(grant.startBy));
         builder.setPressure(grant.pressure);
         builder.setKeeper(grant.keeper);
-        if (grant.rate.knowledge != Rate::Knowledge::Unknown) {
+        if (grant.rate.kind != Rate::RateKind::Unknown) {
             encodeRate(grant.rate, builder.initRate());
         }
     }
@@ -189,8 +189,8 @@
         builder.setEndpoint(update.endpoint);
         encodeRate(update.rate, builder.initRate());
         // Rounded up, so that the receiver's time does not end before the endpoint's.
-        builder.setLeavesForMs(toMilliseconds(std::chrono::ceil<std::chrono::milliseconds>(update.availability.leavesFor)));
-        builder.setRestsForMs(toMilliseconds(std::chrono::ceil<std::chrono::milliseconds>(update.availability.restsFor)));
+        builder.setLeavesForMs(toMilliseconds(std::chrono::ceil<std::chrono::milliseconds>(update.availability.leavingFor)));
+        builder.setRestsForMs(toMilliseconds(std::chrono::ceil<std::chrono::milliseconds>(update.availability.cooldownFor)));
     }
 
     void operator()(const Refusal &refusal)
@@ -244,9 +244,9 @@
         for (unsigned int index = 0; index < entries.size(); ++index) {
             entries[index].setWork(update.entries[index].work);
             entries[index].setRound(update.entries[index].round);
-            entries[index].setHeld(update.entries[index].held);
+            entries[index].setHeld(update.entries[index].quarantined);
             entries[index].setFirstEndingMs(toMilliseconds(update.entries[index].firstCrashAge));
-            entries[index].setLeftMs(toMilliseconds(update.entries[index].left));
+            entries[index].setLeftMs(toMilliseconds(update.entries[index].remaining));
         }
     }
 
--- a/Source/Peer/message.h
+++ b/Source/Peer/message.h
@@ -6,10 +6,10 @@
 
 #pragma once
 
-#include "Availability/knownavailability.h"
+#include "Availability/availabilitystate.h"
 #include "Base/names.h"
 #include "Base/time.h"
-#include "Rate/knownrate.h"
+#include "Rate/ratestate.h"
 
 #include <cstdint>
 #include <string>
@@ -53,7 +53,7 @@
     Base::Instant startBy {}; ///< latest time at which the run may start, on the home's clock
     std::uint32_t pressure = 0; ///< load of the shard: asks queued and running per thousand slots of its endpoints
     std::uint32_t keeper = 0; ///< endpoint from which the granted one fetches the cached part of the prompt; 0 for none
-    Rate::RateWord rate; ///< request rate that the dispatcher assumes for the endpoint
+    Rate::RateInfo rate; ///< request rate that the dispatcher assumes for the endpoint
 };
 
 /// Reports to a dispatcher what a home has learned about an endpoint from the endpoint's own responses.
@@ -61,8 +61,8 @@
 {
     std::uint32_t shard = 0;
     std::uint32_t endpoint = 0;
-    Rate::RateWord rate;
-    Availability::AvailabilityWord availability;
+    Rate::RateInfo rate;
+    Availability::AvailabilityInfo availability;
 };
 
 enum class RefusalReason : std::uint8_t {
@@ -110,7 +110,16 @@
 
 /// How a run ended, as its home saw it. EndpointReplaced: another endpoint has the address by now and did not process the
 /// request.
-enum class RunResult : std::uint8_t { Completed, NotStarted, Failed, Unreachable, Cancelled, Rejected, ErrorResponse, Gone };
+enum class RunResult : std::uint8_t {
+    Completed,
+    NotStarted,
+    Failed,
+    Unreachable,
+    Cancelled,
+    Rejected,
+    ErrorResponse,
+    EndpointReplaced
+};
 
 inline constexpr Base::NameTable<RunResult, 8> runResultNames = {{
     {RunResult::Completed, "completed"},
@@ -120,7 +129,7 @@
     {RunResult::Cancelled, "cancelled"},
     {RunResult::Rejected, "refused"},
     {RunResult::ErrorResponse, "answered-error"},
-    {RunResult::Gone, "gone"},
+    {RunResult::EndpointReplaced, "gone"},
 }};
 
 /// Returns a permit with the home's measurements of the run.
@@ -301,9 +310,9 @@
 {
     std::uint64_t work = 0;
     std::uint32_t round = 0; ///< grows each time that the work is quarantined
-    bool held = false; ///< false if the work was cleared, since a run of it completed
+    bool quarantined = false; ///< false if the work was cleared, since a run of it completed
     Base::Duration firstCrashAge {}; ///< time since the first crash that was counted; sent in whole milliseconds
-    Base::Duration left {}; ///< time until the entry expires; sent in whole milliseconds
+    Base::Duration remaining {}; ///< time until the entry expires; sent in whole milliseconds
 };
 
 struct QuarantineUpdate
--- a/Source/Scaling/scaler.cpp
+++ b/Source/Scaling/scaler.cpp
@@ -107,10 +107,10 @@
     }
 }
 
-bool Scaler::maySend(Instant now, const Order &order, Duration start) const
+bool Scaler::maySend(Instant now, const Order &order, Duration startupTime) const
 {
     const auto sent = std::ranges::find_if(m_sent, [&](const SentOrder &entry) { return isSameTarget(entry.order, order); });
-    return sent == m_sent.end() || sent->order.count != order.count || now - sent->at >= start + repeatDelay;
+    return sent == m_sent.end() || sent->order.count != order.count || now - sent->at >= startupTime + repeatDelay;
 }
 
 std::vector<Order> Scaler::dueOrders(Instant now, const std::vector<ScaledPool> &pools, bool idle)
@@ -121,7 +121,7 @@
         for (const Order &order : planOrders(pool, baselineOf(pool.pool))) {
             const DataCentreCounts &counts = countsOf(pool, order.dataCentre);
             const std::uint32_t current = order.preemptible ? counts.preemptible : counts.regular;
-            if (current == order.count || !maySend(now, order, pool.terms.start)) {
+            if (current == order.count || !maySend(now, order, pool.terms.startupTime)) {
                 continue;
             }
             const bool shrink = order.count < current;
@@ -175,11 +175,11 @@
     }
     std::optional<ScalerAction> action;
     const auto fence = m_lease.fence(now);
-    const Duration timeout = m_lease.timeToAct(now);
+    const Duration timeout = m_lease.remainingTime(now);
     if (fence && timeout >= minOrderTimeout) {
         action = SendOrder {*fence, due.front(), timeout};
     } else if (m_lease.mayWrite(now)) {
-        m_lease.writing(now);
+        m_lease.writeStarted(now);
         action = WriteRow {m_lease.expectedVersion(), serializeRow({m_incarnation, m_host, m_baselines})};
     } else if (now >= m_nextRead) {
         m_nextRead = now + readPeriod;
@@ -198,7 +198,7 @@
                   {{"duty", "scaling"}, {"reason", Base::messageOf(row.status())}});
         row = ScalingRow {};
     }
-    m_lease.seen(now, {stored.version, row->holder});
+    m_lease.updateRow(now, {stored.version, row->holder});
     m_rowHost = row->host;
     for (const PoolBaseline &baseline : row->baselines) {
         m_rowHasBaselines = true;
@@ -227,7 +227,7 @@
 void Scaler::onRowWritten(Instant now, WriteResult result, std::uint64_t version, const std::optional<Lease::StoredRow> &row)
 {
     m_busy = false;
-    m_lease.written(result, version);
+    m_lease.writeFinished(result, version);
     if (result != WriteResult::Done) {
         m_nextAttempt = now + retryPeriod;
         m_nextRead = now;
--- a/Source/Scaling/scaler.h
+++ b/Source/Scaling/scaler.h
@@ -93,7 +93,7 @@
 
 struct ScalerOptions
 {
-    Lease::LeaseTerms lease;
+    Lease::LeaseOptions lease;
     bool dryRun = false; ///< orders are logged and not sent
 };
 
@@ -130,7 +130,7 @@
     };
 
     std::vector<Order> dueOrders(Base::Instant now, const std::vector<ScaledPool> &pools, bool idle);
-    bool maySend(Base::Instant now, const Order &order, Base::Duration start) const;
+    bool maySend(Base::Instant now, const Order &order, Base::Duration startupTime) const;
     void updateBaselines(Base::Instant now, const std::vector<ScaledPool> &pools);
     std::uint32_t baselineOf(const std::string &pool) const;
     void applyRow(Base::Instant now, const Lease::StoredRow &row);
--- a/Source/Scaling/scalingplan.cpp
+++ b/Source/Scaling/scalingplan.cpp
@@ -67,8 +67,8 @@
     if (pool.terms.preemptiblePrice * surplusFactor >= 1.0) {
         return {};
     }
-    const std::uint32_t regularFloor = std::max(1U, pool.terms.least);
-    const std::uint32_t room = pool.terms.most > regularFloor ? pool.terms.most - regularFloor : 0;
+    const std::uint32_t regularFloor = std::max(1U, pool.terms.minCount);
+    const std::uint32_t room = pool.terms.maxCount > regularFloor ? pool.terms.maxCount - regularFloor : 0;
     const std::uint32_t preemptible = std::min(room, divideRoundingUp(baseline, dataCentres - 1));
     const bool enough = countPreemptible(pool) >= std::min(baseline, static_cast<std::uint32_t>(preemptible * dataCentres));
     const bool allServe
@@ -76,7 +76,7 @@
     // The pool's limit counts both kinds. Regular endpoints are first given up only as far as the missing preemptible ones need
     // room, and further when these serve. When all were given up at once and the holder was cut off right then, 90 engines
     // remained without any reserve, and 60 after a withdrawal.
-    const std::uint32_t regularBesidePreemptible = std::max(regularFloor, pool.terms.most - preemptible);
+    const std::uint32_t regularBesidePreemptible = std::max(regularFloor, pool.terms.maxCount - preemptible);
     const bool tooFew = static_cast<double>(totalOf(pool)) < minServingShare * baseline;
     std::vector<Order> orders;
     for (const DataCentreCounts &counts : pool.counts) {
--- a/Source/Usage/usagereporter.cpp
+++ b/Source/Usage/usagereporter.cpp
@@ -76,7 +76,7 @@
     if (!action && m_lease.mayWrite(now)) {
         action = write(now, time, counts);
     }
-    if (!action && (m_lease.mustRead() || !holds) && now >= m_nextRead) {
+    if (!action && (m_lease.needsRead() || !holds) && now >= m_nextRead) {
         m_nextRead = now + readPeriod;
         action = ReadRow {};
     }
@@ -90,7 +90,7 @@
 std::optional<ReporterAction> UsageReporter::report(Instant now)
 {
     const auto fence = m_lease.fence(now);
-    const Duration timeout = m_lease.timeToAct(now);
+    const Duration timeout = m_lease.remainingTime(now);
     const auto next = std::ranges::find_if(m_pending, [](const Pending &pending) { return !pending.reported; });
     if (!fence || timeout < minReportTimeout || next == m_pending.end()) {
         return std::nullopt;
@@ -112,7 +112,7 @@
         row.windows.erase(row.windows.begin(), row.windows.begin() + surplus);
     }
     m_written = row.windows;
-    m_lease.writing(now);
+    m_lease.writeStarted(now);
     return WriteRow {m_lease.expectedVersion(), serializeRow(std::move(row))};
 }
 
@@ -125,7 +125,7 @@
                   {{"duty", "usage"}, {"reason", Base::messageOf(row.status())}});
         row = UsageRow {};
     }
-    m_lease.seen(now, {result.version, row->holder});
+    m_lease.updateRow(now, {result.version, row->holder});
     m_rowHost = row->host;
     if (!row->windows.empty()) {
         // This may be older than the start of this process: the windows from there on have yet to be fixed.
@@ -164,7 +164,7 @@
                                  const std::optional<Lease::StoredRow> &row)
 {
     m_busy = false;
-    m_lease.written(result, version);
+    m_lease.writeFinished(result, version);
     if (result != WriteResult::Done) {
         m_nextAttempt = now + retryPeriod;
         m_nextRead = now;
--- a/Source/Usage/usagereporter.h
+++ b/Source/Usage/usagereporter.h
@@ -23,7 +23,7 @@
     /// Delay after a window's end until all hosts' counts have arrived. Hosts send them each second, and a request without a
     /// stream is counted when its response is complete.
     Base::Duration fixAfter = std::chrono::milliseconds(2200);
-    Lease::LeaseTerms lease;
+    Lease::LeaseOptions lease;
 };
 
 /// Read the row and pass the result to UsageReporter::onRowRead().
--- a/Tests/Scaling/scalertest.cpp
+++ b/Tests/Scaling/scalertest.cpp
@@ -92,7 +92,7 @@
 TEST(ScalingPlan, theLimitCountsBothKinds)
 {
     ScaledPool large = atStart();
-    large.terms.most = 40;
+    large.terms.maxCount = 40;
     CHECK_EQUAL(39, countOrdered(planOrders(large, baseline), "a", true));
 }
 
