--- a/Tests/Peer/codectest.cpp
+++ b/Tests/Peer/codectest.cpp
@@ -59,11 +59,11 @@
     CHECK_TRUE(got.pressure == grant.pressure && got.keeper == grant.keeper);
 }
 
-TEST(Codec, rateNewsKeepAllFieldsAndWhatIsNoRateIsNone)
+TEST(Codec, endpointUpdateKeepsTheRateAndDiscardsInvalidRates)
 {
-    const EndpointUpdate news {5, 8, {Yokepond::Rate::RateKind::Unlimited, 0, milliseconds(17)}};
-    const EndpointUpdate got = roundTrip(news);
-    CHECK_TRUE(got.shard == 5 && got.endpoint == 8 && got.rate.kind == news.rate.kind && got.rate.age == news.rate.age);
+    const EndpointUpdate update {5, 8, {Yokepond::Rate::RateKind::Unlimited, 0, milliseconds(17)}};
+    const EndpointUpdate got = roundTrip(update);
+    CHECK_TRUE(got.shard == 5 && got.endpoint == 8 && got.rate.kind == update.rate.kind && got.rate.age == update.rate.age);
     for (const double perSecond : {-1.0, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity()}) {
         const EndpointUpdate malformed {5, 8, {Yokepond::Rate::RateKind::Limited, perSecond, {}}};
         CHECK_TRUE(roundTrip(malformed).rate.kind == Yokepond::Rate::RateKind::Unknown);
@@ -72,13 +72,13 @@
     DOUBLES_EQUAL(Yokepond::Rate::largestRate, roundTrip(huge).rate.perSecond, 1e-9);
 }
 
-TEST(Codec, whatEndpointsSayOfLeavingAndRestIsKept)
+TEST(Codec, endpointUpdateKeepsAvailability)
 {
-    const EndpointUpdate news {5, 8, {}, {std::chrono::seconds(600), milliseconds(2750)}};
-    const EndpointUpdate got = roundTrip(news);
+    const EndpointUpdate update {5, 8, {}, {std::chrono::seconds(600), milliseconds(2750)}};
+    const EndpointUpdate got = roundTrip(update);
     CHECK_TRUE(got.rate.kind == Yokepond::Rate::RateKind::Unknown);
     CHECK_TRUE(got.availability.leavingFor == std::chrono::seconds(600) && got.availability.cooldownFor == milliseconds(2750));
-    // What is left must not end before its time.
+    // A fraction of a millisecond is rounded up, so that the time does not end too early.
     const EndpointUpdate fraction {5, 8, {}, {{}, std::chrono::microseconds(1)}};
     CHECK_TRUE(roundTrip(fraction).availability.cooldownFor == milliseconds(1));
     CHECK_TRUE(roundTrip(EndpointUpdate {}).availability.leavingFor == milliseconds(0));
@@ -99,7 +99,7 @@
     CHECK_TRUE(roundTrip(Probe {1, {member}, 12, 13, "h2"}).members.front() == member);
 }
 
-TEST(Codec, unknownEnumeratorIsPassedOver)
+TEST(Codec, messageWithUnknownEnumeratorIsSkipped)
 {
     capnp::MallocMessageBuilder memory;
     auto builder = memory.initRoot<Wire::Message>();
@@ -108,7 +108,7 @@
     CHECK_FALSE(decode(builder.asReader()).has_value());
 }
 
-TEST(Codec, bodiesMayHoldAnyBytes)
+TEST(Codec, bodiesMayContainAnyBytes)
 {
     Forward forward;
     forward.body = std::string("\0\xff\n", 3);
@@ -126,24 +126,24 @@
     CHECK_TRUE(got.clock == received.clock && got.fixedUpTo == received.fixedUpTo && got.holder == received.holder);
 }
 
-TEST(Codec, whatIsKnownOfWorkKeepsAllFields)
+TEST(Codec, quarantineMessagesKeepAllFields)
 {
     const RunBroke broke = roundTrip(RunBroke {0xfedcba9876543210U, 17, true});
     CHECK_TRUE(broke.work == 0xfedcba9876543210U && broke.endpoint == 17 && broke.justBegan);
-    const QuarantineUpdate news {
+    const QuarantineUpdate update {
         99, {{5, 2, true, milliseconds(1200), milliseconds(600'000)}, {6, 1, false, milliseconds(1), milliseconds(2)}}};
-    const QuarantineUpdate got = roundTrip(news);
-    CHECK_EQUAL(news.digest, got.digest);
+    const QuarantineUpdate got = roundTrip(update);
+    CHECK_EQUAL(update.digest, got.digest);
     CHECK_EQUAL(2U, got.entries.size());
     for (std::size_t index = 0; index < got.entries.size(); ++index) {
-        const QuarantineEntry &sent = news.entries[index];
+        const QuarantineEntry &sent = update.entries[index];
         const QuarantineEntry &entry = got.entries[index];
         CHECK_TRUE(entry.work == sent.work && entry.round == sent.round && entry.quarantined == sent.quarantined);
         CHECK_TRUE(entry.firstCrashAge == sent.firstCrashAge && entry.remaining == sent.remaining);
     }
 }
 
-TEST(Codec, whoFollowsTheStoreIsToldAsConfiguration)
+TEST(Codec, followMessagesBelongToConfigurationTraffic)
 {
     CHECK_TRUE(roundTrip(FollowAnswer {true}).follows);
     CHECK_FALSE(roundTrip(FollowAnswer {false}).follows);
