--- a/Source/Dispatch/cooldowns.cpp
+++ b/Source/Dispatch/cooldowns.cpp
@@ -11,17 +11,18 @@
 
 using Base::Instant;
 
-/// Requests turned away in a row. One that turns away two of five takes three fifths of what it is sent by others meanwhile.
+/// An endpoint counts as full after this many rejections in a row. An endpoint that rejects two of five requests still accepts
+/// three fifths of the requests that other homes send it meanwhile, so it must not count as full.
 constexpr std::uint32_t rejectionsUntilFull = 3;
-/// Of an endpoint that turns requests away and names no time; doubled with each further one.
+/// Cooldown of a full endpoint that advertises none; it doubles with each further rejection.
 constexpr Base::Duration initialDefaultCooldown = std::chrono::milliseconds(250);
 constexpr Base::Duration maxDefaultCooldown = std::chrono::seconds(2);
 
-/// After @p turnedAway requests in a row.
-Base::Duration defaultCooldown(std::uint32_t turnedAway)
+/// Returns the cooldown of an endpoint that advertises none, after @p rejections runs rejected in a row.
+Base::Duration defaultCooldown(std::uint32_t rejections)
 {
     constexpr std::uint32_t maxDoublings = 3;
-    return std::min(initialDefaultCooldown * (1U << std::min(turnedAway - rejectionsUntilFull, maxDoublings)),
+    return std::min(initialDefaultCooldown * (1U << std::min(rejections - rejectionsUntilFull, maxDoublings)),
                     maxDefaultCooldown);
 }
 
@@ -64,7 +65,7 @@
     if (!coversAllHomes()) {
         return true;
     }
-    // When the rest ends one run at a time finds out whether it takes requests again.
+    // After the cooldown one run at a time tests whether the endpoint accepts requests again.
     return now >= m_endForAll && now >= m_lastGrant + maxRejectionDelay;
 }
 
--- a/Source/Dispatch/cooldowns.h
+++ b/Source/Dispatch/cooldowns.h
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Which homes' requests an endpoint takes, by what it has asked them for when it turned their requests away.
+/// Cooldowns of an endpoint. A cooldown is a time in which the endpoint accepts no requests, which it can advertise to a home
+/// when it rejects a run.
 
 #pragma once
 
@@ -13,49 +14,51 @@
 
 namespace Yokepond::Dispatch {
 
-/// A refusal of a run has come back to the dispatcher by then, else the run has been taken.
+/// If a rejection has not reached the dispatcher within this time after the grant, the endpoint has accepted the run.
 inline constexpr Base::Duration maxRejectionDelay = std::chrono::milliseconds(100);
 
-/// At the dispatcher of one endpoint. A rest is a word to one home; an endpoint that turns away one request after the other is
-/// full for all of them. Homes are named by their incarnations.
+/// The dispatcher's state of the cooldowns of one endpoint. An advertised cooldown applies to one home. An endpoint that rejects
+/// several runs in a row counts as full for all homes. Homes are identified by their incarnations.
 class Cooldowns
 {
 public:
-    /// The endpoint takes no request of @p home until @p until.
+    /// Records that the endpoint advertised to @p home a cooldown that ends at @p until. A shorter one does not replace a longer
+    /// one.
     void startFor(std::uint64_t home, Base::Instant until);
 
-    /// A run of @p home was turned away. Where no rest was named one is assumed, if it is not the first in a row.
+    /// Records that the endpoint rejected a run of @p home. After several rejections in a row it starts a cooldown for all homes,
+    /// with a default duration if the endpoint advertised none.
     void recordRejection(Base::Instant now, std::uint64_t home);
 
-    /// A run was not turned away.
+    /// Records that the endpoint accepted a run, which ends the row of rejections.
     void recordAcceptance();
 
-    /// A run of any home is on its way there.
+    /// Records that a run of any home has been granted.
     void recordGrant(Base::Instant now);
 
-    /// Whether a run of @p home may be sent.
+    /// Returns whether a run of @p home may be sent.
     bool allows(Base::Instant now, std::uint64_t home) const;
 
-    /// Whether a run of any home may be sent.
+    /// Returns whether runs may be sent at all, apart from the cooldowns of single homes.
     bool allowsAnyHome(Base::Instant now) const;
 
-    /// From when on a run of @p home may be sent, as far as it is known.
+    /// Returns the end of the cooldown for @p home; a time in the past if there is none.
     Base::Instant endFor(std::uint64_t home) const;
 
-    /// Whether some home's runs may not be sent, or the endpoint has not been seen to take requests since then.
+    /// Returns whether a home has a cooldown, or the endpoint has accepted no run since its cooldown for all homes.
     bool isActive(Base::Instant now) const;
 
-    /// Whether it turned away one run after the other, whosever they were, and none has been taken since.
+    /// Returns whether the endpoint rejected several runs in a row, of any homes, and has accepted none since.
     bool coversAllHomes() const;
 
-    /// Forgets what has ended.
+    /// Removes the cooldowns of single homes that have ended.
     void removeExpired(Base::Instant now);
 
 private:
-    std::map<std::uint64_t, Base::Instant> m_endByHome; ///< by home
+    std::map<std::uint64_t, Base::Instant> m_endByHome;
     Base::Instant m_endForAll {};
     Base::Instant m_lastGrant {};
-    std::uint32_t m_consecutiveRejections = 0; ///< in a row
+    std::uint32_t m_consecutiveRejections = 0;
 };
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/dispatcher.h
+++ b/Source/Dispatch/dispatcher.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// All shards that this host dispatches.
+/// The shards that this host dispatches.
 
 #pragma once
 
@@ -15,13 +15,13 @@
 
 namespace Yokepond::Dispatch {
 
-/// Pure state machine around the shards; messages for shards of other hosts are refused.
+/// Passes the messages of homes to the shards of this host, and refuses asks for other shards. It does no I/O.
 class Dispatcher
 {
 public:
     explicit Dispatcher(std::string self);
 
-    /// Takes up the shards that @p map gives this host and hands over those it does not.
+    /// Adds the shards that @p map assigns to this host, and hands over those that it no longer does.
     void update(Base::Instant now, const ShardMap &map, std::shared_ptr<const Configuration::Catalogue> catalogue);
 
     void receive(Base::Instant now, const Home &home, const Peer::Ask &ask);
@@ -30,14 +30,16 @@
     void receive(Base::Instant now, const Home &home, const Peer::RunningReport &report);
     void receive(Base::Instant now, const Home &home, const Peer::EndpointNews &news);
 
-    /// Drops everything of a member's incarnations other than @p keep (0: all).
+    /// Drops all asks and permits of the home called @p name, except those of its incarnation @p keep (0: drops all).
     void removeHome(Base::Instant now, const std::string &name, std::uint64_t keep);
 
-    /// The endpoints that the platform lists as leaving.
+    /// Sets the endpoints that the platform lists as leaving.
     void setLeaving(Base::Instant now, std::vector<std::uint32_t> endpoints);
 
+    /// Does the periodic work of all shards, see Shard::tick().
     void tick(Base::Instant now);
 
+    /// Returns the messages to send, and clears the list.
     std::vector<Reply> takeReplies();
 
     const std::map<std::uint32_t, Shard> &shards() const;
--- a/Source/Dispatch/endpointstates.cpp
+++ b/Source/Dispatch/endpointstates.cpp
@@ -15,6 +15,7 @@
 
 using Base::Duration;
 
+/// A median is compared only if at least this many endpoints have a value.
 constexpr std::size_t minEndpointsToCompare = 3;
 
 template<typename Value>
@@ -25,7 +26,7 @@
     return *middle;
 }
 
-/// What @p told tells of each healthy endpoint, where it tells something.
+/// Returns the value that @p getter returns for each healthy endpoint, without those for which it returns nothing.
 template<typename Getter>
 auto valuesOfHealthy(const EndpointStates &endpoints, Getter getter)
 {
@@ -64,7 +65,7 @@
         if (!state.isUsable() || state.cooldowns.coversAllHomes()) {
             return std::size_t {0};
         }
-        // The slots of an endpoint that limits its rate are not there to be filled.
+        // An endpoint that limits its rate counts with the runs that it starts in a second, since it cannot fill all its slots.
         const double startsPerSecond
             = state.rateLimiter.isLimited() ? std::ceil(Rate::pacedRate(state.rateLimiter.known())) : state.windowSize();
         return std::size_t {std::min(state.windowSize(), static_cast<std::uint32_t>(startsPerSecond))};
--- a/Source/Dispatch/endpointstates.h
+++ b/Source/Dispatch/endpointstates.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What a dispatcher knows of the endpoints of one shard.
+/// The dispatcher's state of the endpoints of one shard.
 
 #pragma once
 
@@ -23,19 +23,19 @@
 
 using Window = std::variant<FixedWindow, AdaptiveWindow>;
 
-/// What an operator sees of an endpoint.
+/// The state of an endpoint that is shown to operators.
 struct EndpointView
 {
     std::uint32_t endpoint = 0;
     std::uint32_t running = 0;
     std::uint32_t window = 0;
     HealthState health = HealthState::Healthy;
-    bool drained = false;
+    bool drained = false; ///< not usable, for any reason
     bool announcedLeaving = false;
-    bool coolingDown = false; ///< for all homes
+    bool coolingDown = false; ///< in cooldown for all homes
     double firstTokenMs = 0;
     double interTokenLatencyMs = 0;
-    std::optional<double> ratePerSecond; ///< that it says it takes from all hosts together, if it limits that
+    std::optional<double> ratePerSecond; ///< advertised limit on the runs from all hosts together, if there is one
 };
 
 struct EndpointState
@@ -44,66 +44,67 @@
     Health health;
     std::uint32_t running = 0;
     std::uint32_t slots = 0;
-    std::uint64_t memoryTokens = 0;
-    double movedTokensPerMs = 0;
-    bool drained = false;
-    bool leaving = false;
-    bool replaced = false; ///< another endpoint answers at its address; its name does not come back
-    Base::Instant leavingUntil {}; ///< as its answers say
+    std::uint64_t memoryTokens = 0; ///< see Configuration::Endpoint
+    double movedTokensPerMs = 0; ///< see Configuration::Endpoint
+    bool drained = false; ///< drained by an operator, or moved to another shard
+    bool leaving = false; ///< listed by the platform as leaving
+    bool replaced = false; ///< another endpoint has its address; this one does not come back
+    Base::Instant leavingUntil {}; ///< end of the period in which it announced that it is leaving
     bool announcedLeaving = false;
     Rate::Pace rateLimiter;
     Cooldowns cooldowns;
 
-    /// Whether it may get work, whatever its health.
+    /// Returns whether the endpoint may get work, apart from its health.
     bool isUsable() const;
 
-    /// Whether it may get work now, room aside.
+    /// Returns whether the endpoint may get work now, apart from free slots.
     bool acceptsWork() const;
 
-    /// Runs that it may have at once.
+    /// Returns the concurrency limit of the endpoint.
     std::uint32_t windowSize() const;
 };
 
-/// Of endpoints that all limit their rate, together.
+/// The combined rate limit of several endpoints that all limit their rate.
 struct PooledRate
 {
-    std::uint32_t left = 0; ///< runs that may begin now
+    std::uint32_t left = 0; ///< runs that may start now
     double perSecond = 0;
 
-    /// Until @p before runs have begun and one more may.
+    /// Returns the time until one more run may start after @p ahead other runs have started.
     Base::Duration waitBehind(std::size_t ahead) const;
 };
 
-/// By number.
+/// The endpoints by number.
 using EndpointStates = std::map<std::uint32_t, EndpointState>;
 
-/// Windows of all that may get work.
+/// Returns the sum of the windows of all usable endpoints that are not in cooldown for all homes.
 std::size_t totalWindow(const EndpointStates &endpoints);
 
+/// Returns the number of active runs on all endpoints.
 std::size_t totalRunning(const EndpointStates &endpoints);
 
 std::size_t ejectedCount(const EndpointStates &endpoints);
 
-/// Of those that are healthy; none if fewer than three have one to compare.
+/// Returns the median over the healthy endpoints, or nothing if fewer than three of them have a value.
 std::optional<Base::Duration> medianInterTokenLatency(const EndpointStates &endpoints);
 
-/// Of those that are healthy; none if no run has told it yet.
+/// Returns the median over the healthy endpoints, or nothing if no run has been observed yet.
 std::optional<Base::Duration> medianFirstToken(const EndpointStates &endpoints);
 
-/// Of those that are healthy; none if fewer than three have one to compare.
+/// Returns the median over the healthy endpoints, or nothing if fewer than three of them have a value.
 std::optional<double> medianErrorShare(const EndpointStates &endpoints);
 
-/// All that take work, with all their slots free to choose; those whose rate is used up, or that rest, only if there are no
-/// others.
+/// Returns all endpoints that accept work as candidates with all their slots. Returns those that have reached their rate limit or
+/// are in cooldown only if there are no others.
 std::vector<Candidate> usableCandidates(const EndpointStates &endpoints, Base::Instant now);
 
-/// Whether each that takes work rests for some home.
+/// Returns whether each endpoint that accepts work has a cooldown for at least one home.
 bool allHaveCooldowns(const EndpointStates &endpoints, Base::Instant now);
 
-/// How long all that take work rest for @p home; zero if one does not.
+/// Returns the time until the first endpoint accepts requests of @p home again; zero if one does so now.
 Base::Duration remainingCooldown(const EndpointStates &endpoints, Base::Instant now, std::uint64_t home);
 
-/// Nothing if some endpoint that takes work does not limit its rate.
+/// Returns the combined rate limit, or nothing if an endpoint that accepts work has none.
 std::optional<PooledRate> pooledRate(const EndpointStates &endpoints, Base::Instant now);
 
 std::vector<EndpointView> viewsOf(const EndpointStates &endpoints);
--- a/Source/Dispatch/health.cpp
+++ b/Source/Dispatch/health.cpp
@@ -9,19 +9,22 @@
 
 namespace {
 
-constexpr double latestWeight = 0.3; ///< weight of the latest run in the means
-constexpr double slowFactor = 2.5; ///< times the peers' pace
-constexpr std::uint32_t minRuns = 2; ///< before the pace is judged
-constexpr std::uint32_t maxConsecutiveFailures = 2; ///< in a row
-/// In a row: one request in seven answered an error would come to it once in a hundred thousand times.
+constexpr double latestWeight = 0.3; ///< weight of the latest run in the moving averages
+constexpr double slowFactor = 2.5; ///< an endpoint is slow above this multiple of the median
+constexpr std::uint32_t minRuns = 2; ///< an endpoint with fewer runs is never slow
+constexpr std::uint32_t maxConsecutiveFailures = 2; ///< an endpoint with this many is failing
+/// An endpoint with this many error responses in a row is failing. If one response in seven is an error, six in a row occur once
+/// in a hundred thousand times.
 constexpr std::uint32_t maxConsecutiveErrors = 6;
 constexpr std::uint32_t probesToPass = 2;
-/// Weight of the latest run in the share of errors, and runs before the share is judged: at a seventh, which some applications
-/// answer to all alike, the share strays by 0.08, so that a third apart is seldom chance.
+/// Weight of the latest run in the share of errors, and responses needed before the share is used. Some applications respond to
+/// one request in seven with an error at every endpoint. At that rate the share varies by 0.08, so a difference of a third is
+/// rarely random.
 constexpr double latestErrorWeight = 0.1;
 constexpr std::uint32_t minResponses = 6;
-/// Where a sixth of the engines answered errors to half of their requests, this brought the errors answered from 1,138 to 906 and
-/// the worth of a day of high load from 0.55 to 0.58 (single plays of the large deployment, which differ by 0.03).
+/// An endpoint is ejected when its share of errors exceeds the median by this. With a sixth of the engines responding to half of
+/// their requests with errors, this reduced the error responses from 1,138 to 906 and raised the worth of a day of high load from
+/// 0.55 to 0.58 (single runs of the large deployment, which differ by 0.03).
 constexpr double errorShareMargin = 0.25;
 constexpr Base::Duration initialEjection = std::chrono::seconds(1);
 
@@ -38,7 +41,7 @@
     if (!observation.failed) {
         const double error = observation.errorResponse ? 1.0 : 0.0;
         ++m_responses;
-        // The first ones count alike: a share that began at nothing would be late to tell.
+        // The first responses have equal weight. A moving average that starts at zero would take longer to show a high share.
         m_errorShare += std::max(latestErrorWeight, 1.0 / m_responses) * (error - m_errorShare);
     }
     if (observation.errorResponse) {
@@ -73,7 +76,7 @@
         m_probesPassed = 0;
         m_consecutiveFailures = 0;
         m_consecutiveErrors = 0;
-        // What was seen before the ejection says nothing about now.
+        // Observations from before the ejection say nothing about the present state.
         m_runs = 0;
         m_responses = 0;
         m_errorShare = 0;
--- a/Source/Dispatch/health.h
+++ b/Source/Dispatch/health.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Whether an endpoint is fast, slow or dead, by what the homes of its runs saw.
+/// Health of an endpoint, derived from the observations of its runs' homes.
 
 #pragma once
 
@@ -23,44 +23,46 @@
     {HealthState::Probing, "probing"},
 }};
 
-/// Health of one endpoint. Ejected ones get no work for a time that doubles, then one run at a time until some succeed.
+/// Tracks the health of one endpoint. An ejected endpoint gets no work for a time that doubles with each ejection. After that it
+/// is probed: it gets one run at a time until some of them succeed.
 class Health
 {
 public:
-    /// Takes in a finished run. Errors that the endpoint answered count for less than runs that broke off: some applications
-    /// answer them to a share of their requests for reasons of the request.
+    /// Adds a finished run. An error response counts for less than a broken run, since some applications respond with an error to
+    /// a share of their requests because of the request itself.
     void observe(const Observation &observation);
 
-    /// Takes in a run that has waited @p waited for its first token without getting it.
+    /// Raises the estimate of the first-token time to @p waited, for a run that still has no token after that time.
     void observeWaiting(Base::Duration waited);
 
-    /// Moves on with time: an ejection that is over becomes probing.
+    /// Changes the state from ejected to probing when the ejection is over.
     void tick(Base::Instant now);
 
-    /// Ejects for a time that doubles from ejection to ejection, up to @p longest.
+    /// Ejects the endpoint for a time that doubles with each ejection, up to @p longest.
     void eject(Base::Instant now, Base::Duration longest);
 
     HealthState state() const;
 
-    /// Mean of recent gaps between tokens, or of first-token times where no gaps were seen; nothing before the first run.
+    /// Returns the moving average of the time between tokens, or of the first-token time if there were no gaps; nothing before
+    /// the first run.
     std::optional<Base::Duration> interTokenLatency() const;
 
-    /// Mean of recent first-token times; nothing before the first run.
+    /// Returns the moving average of the first-token time; nothing before the first run.
     std::optional<Base::Duration> firstToken() const;
 
-    /// Failures since the last success.
+    /// Returns the number of failures since the last success.
     std::uint32_t failures() const;
 
-    /// Whether it failed several times in a row, or failed while it was probed.
+    /// Returns whether the endpoint failed several times in a row, or failed a probe.
     bool isFailing() const;
 
-    /// Part of its recent runs that it answered with an error; nothing before there are enough of them to tell.
+    /// Returns the share of recent responses that were errors; nothing before there are enough responses.
     std::optional<double> errorShare() const;
 
-    /// Whether it answers far more errors than @p peers' share.
+    /// Returns whether its share of errors is far above @p peers, the median of the shard.
     bool hasHighErrorShare(std::optional<double> peers) const;
 
-    /// Whether it is much slower than @p peers' pace.
+    /// Returns whether its time between tokens is far above @p peers, the median of the shard.
     bool isSlow(std::optional<Base::Duration> peers) const;
 
 private:
@@ -69,9 +71,9 @@
     double m_firstTokenMicroseconds = 0;
     std::uint32_t m_runs = 0;
     std::uint32_t m_consecutiveFailures = 0;
-    std::uint32_t m_consecutiveErrors = 0; ///< answered in a row
+    std::uint32_t m_consecutiveErrors = 0; ///< error responses
     double m_errorShare = 0;
-    std::uint32_t m_responses = 0; ///< runs that m_errorShare tells of
+    std::uint32_t m_responses = 0; ///< responses that m_errorShare is made from
     std::uint32_t m_probesPassed = 0;
     Base::Duration m_ejection {};
     Base::Instant m_ejectedUntil {};
--- a/Source/Dispatch/laterefusals.cpp
+++ b/Source/Dispatch/laterefusals.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Of the asks of a tier above the lowest, this share may be refused as too late, and so many at once.
+/// Share of the asks of a tier above the lowest that may be refused as too late, and the most that may be refused at once.
 constexpr double refusableShare = 0.07;
 constexpr double maxSavedRefusals = 4.0;
 
--- a/Source/Dispatch/laterefusals.h
+++ b/Source/Dispatch/laterefusals.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// How many asks may be refused because they would be late.
+/// Limits how many asks are refused because they would be late.
 
 #pragma once
 
@@ -12,21 +12,21 @@
 
 namespace Yokepond::Dispatch {
 
-/// Of the tiers above the lowest only few are refused as too late, for the room is being given to the tiers below: the rest is
-/// served late.
+/// A token bucket for each tier above the lowest. Only few asks of these tiers are refused as too late, since that gives their
+/// slots to lower tiers; further late asks are served late. The lowest tier has no limit.
 class LateRefusals
 {
 public:
-    /// An ask of @p rank has come.
+    /// Adds the refusals that a new ask of @p rank allows.
     void earn(int rank);
 
-    /// Whether an ask of @p rank may be refused as too late now; if so, that is counted.
+    /// Returns whether an ask of @p rank may be refused as too late now, and counts the refusal if so.
     bool spend(int rank, int lowestRank);
 
 private:
     Base::TokenBucket &bucketOf(int rank);
 
-    std::map<int, Base::TokenBucket> m_buckets; ///< by rank
+    std::map<int, Base::TokenBucket> m_buckets; ///< by rank of the tier
 };
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/order.cpp
+++ b/Source/Dispatch/order.cpp
@@ -16,13 +16,13 @@
 constexpr double promptTokensPerUnit = 512.0;
 constexpr std::size_t maxOrganisationsChecked = 16;
 
-/// What serving an ask costs its organisation's share: one unit, and more for a long prompt.
+/// Returns the cost that is charged to the organisation for an ask: one unit, plus an amount in proportion to the prompt.
 double cost(const QueuedAsk &ask)
 {
     return 1.0 + static_cast<double>(ask.ask.promptTokens) / promptTokensPerUnit;
 }
 
-/// The oldest arrival whose target can still be met if a run began now.
+/// Returns the earliest arrival for which the target can still be met if the run starts now.
 Base::Instant oldestOnTime(const ClassParameters &parameters, Base::Instant now, Base::Duration expected)
 {
     return now + expected - parameters.firstToken;
@@ -32,7 +32,7 @@
 
 std::size_t AskKeyHash::operator()(const AskKey &key) const
 {
-    // Unlike Abseil's hash this one is the same in every process, so that a seeded run can be repeated.
+    // Unlike Abseil's hash, this one is the same in every process, so that a seeded test run can be repeated.
     const std::array<std::uint64_t, 2> words = {key.home, key.id.request};
     return Base::hash64({reinterpret_cast<const char *>(words.data()), sizeof words}, key.id.attempt);
 }
@@ -126,7 +126,7 @@
     OrganisationQueue &organisation = queue.organisations[ask.ask.organisation];
     organisation.weight = ask.weight;
     if (organisation.byArrival.empty()) {
-        // An organisation that was away has no claim on the time it did not use.
+        // An organisation without queued asks does not accumulate credit for that time.
         organisation.virtualTime = std::max(organisation.virtualTime, queue.virtualTime);
         queue.active.emplace(organisation.virtualTime, ask.ask.organisation);
     }
--- a/Source/Dispatch/order.h
+++ b/Source/Dispatch/order.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// In which order queued asks are served, and which is given up when the queue is full.
+/// Queue disciplines for asks: the order in which they are served, and the ask that is evicted when the queue is full.
 
 #pragma once
 
@@ -18,7 +18,8 @@
 
 namespace Yokepond::Dispatch {
 
-/// A queue of asks. insert() and remove() are exact; next() looks without removing; serve() removes what is granted.
+/// A queue of asks. next() returns the key of the ask to serve without removing it; serve() removes an ask that is granted and
+/// accounts for it; insert() and remove() account for nothing.
 template<typename T>
 concept OrderPolicy
     = requires(T order, const T &constant, const QueuedAsk &ask, AskKey key, Base::Instant now, Base::Duration expected) {
@@ -57,7 +58,7 @@
     std::size_t operator()(const AskKey &key) const;
 };
 
-/// Baseline: strictly by arrival; when the queue is full the newcomer is refused.
+/// Baseline policy that serves asks strictly by arrival. When the queue is full, the new ask is refused.
 class FifoOrder
 {
 public:
@@ -77,34 +78,38 @@
     std::set<std::pair<Base::Instant, AskKey>> m_byArrival;
 };
 
-/// By tier; within a tier by the classes' slack to their target, those that can still meet it first; within a class fair
-/// among organisations by weight (start-time fair queueing); within an organisation by arrival.
+/// Serves the highest tier first. Within a tier it serves the class with the least slack to its first-token target, and asks that
+/// can still meet the target before late ones. Within a class it shares among organisations by weight (start-time fair queueing),
+/// and it serves the asks of an organisation by arrival.
 ///
-/// A class that has waited past its bound gets a guaranteed share of what is served. That acts on order only.
+/// A class whose oldest ask has waited longer than the starvation bound gets a guaranteed share of the served asks. This share
+/// affects the order only, not which ask is evicted.
 class TieredOrder
 {
 public:
-    /// @p guaranteedShare of what is served goes to classes past their bound, from 0 to 1.
+    /// @p guaranteedShare is the share of served asks, from 0 to 1, that goes to classes past their starvation bound.
     explicit TieredOrder(double guaranteedShare = 0.05);
 
     void insert(const QueuedAsk &ask);
     std::optional<QueuedAsk> remove(AskKey key);
 
-    /// The ask to serve now; @p expected is how long a run takes to its first token.
+    /// Returns the ask to serve now, or nothing if the queue is empty. @p expected is the expected time from the start of a run
+    /// to its first token.
     std::optional<AskKey> next(Base::Instant now, Base::Duration expected);
 
-    /// Removes what next() named and charges its class and organisation for it.
+    /// Removes the ask that next() returned and charges its class and organisation for it.
     std::optional<QueuedAsk> serve(AskKey key);
 
-    /// Of all asks and @p newcomer, the one to give up: of the lowest tier there is, the one whose deadline is nearest.
+    /// Returns the ask to evict, which may be @p newAsk: the one with the nearest deadline in the lowest tier.
     AskKey evictionCandidate(const QueuedAsk &newAsk) const;
 
     const QueuedAsk *find(AskKey key) const;
     std::size_t size() const;
 
-    /// Asks in tiers of @p rank and above.
+    /// Returns the number of asks in the tier of @p rank and the tiers above.
     std::size_t aheadOf(int rank) const;
 
+    /// Returns the asks whose deadline has passed.
     std::vector<AskKey> expired(Base::Instant now) const;
     std::vector<const QueuedAsk *> all() const;
 
@@ -122,7 +127,7 @@
     {
         ClassParameters parameters;
         std::map<std::uint32_t, OrganisationQueue> organisations;
-        std::set<std::pair<double, std::uint32_t>> active; ///< organisations with asks, by virtual time
+        std::set<std::pair<double, std::uint32_t>> active; ///< organisations with queued asks, by virtual time
         ByTime byArrival;
         double virtualTime = 0;
     };
@@ -133,14 +138,18 @@
         ByTime byDeadline;
     };
 
+    /// Returns the class that has waited longest relative to its starvation bound, or null if none is past it.
     const ClassQueue *overdueClass(Base::Instant now) const;
+    /// Returns the class of the tier with the least slack; classes that only have late asks come last.
     static const ClassQueue *leastSlack(const Tier &tier, Base::Instant now, Base::Duration expected);
+    /// Returns the next ask of the class by fair queueing, preferring one that can still meet its target.
     static AskKey nextByFairness(const ClassQueue &queue, Base::Instant now, Base::Duration expected);
+    /// Adds the cost of a served ask to the virtual time of its organisation.
     static void charge(ClassQueue &queue, const QueuedAsk &ask);
 
     double m_guaranteedShare;
-    double m_overdueCredit = 0;
-    bool m_nextIsOverdue = false;
+    double m_overdueCredit = 0; ///< an overdue class is served when this reaches 1
+    bool m_nextIsOverdue = false; ///< the last next() returned an ask of an overdue class
     std::unordered_map<AskKey, QueuedAsk, AskKeyHash> m_asks;
     std::map<int, Tier> m_tiers;
 };
--- a/Source/Dispatch/placement.cpp
+++ b/Source/Dispatch/placement.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t maxPrefixes = 20'000;
 constexpr std::size_t holdersPerPrefix = 3;
-/// Part of its window by which a holder of the prefix may be fuller than the least loaded endpoint.
+/// An endpoint that ran the prefix may exceed the load of the least loaded endpoint by this share of its window.
 constexpr double loadSlack = 0.35;
 
 const Candidate &leastLoaded(std::span<const Candidate> candidates)
@@ -48,7 +48,7 @@
 std::optional<std::uint32_t> PrefixAffinity::holder(const QueuedAsk &ask, std::span<const Candidate> candidates,
                                                     double maxLoad) const
 {
-    // The last hash stands for the longest beginning.
+    // The last hash is that of the longest prefix.
     for (const std::uint64_t prefix : ask.ask.prefix | std::views::reverse) {
         const auto holders = m_holders.find(prefix);
         if (holders == m_holders.end()) {
--- a/Source/Dispatch/placement.h
+++ b/Source/Dispatch/placement.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Which endpoint with room gets a run.
+/// Placement policies, which select an endpoint with free slots for a run.
 
 #pragma once
 
@@ -21,46 +21,46 @@
 
 namespace Yokepond::Dispatch {
 
-/// An endpoint that could take the run: its load now and how many it may run at once.
+/// An endpoint that could take the run, with its present load and its concurrency limit.
 struct Candidate
 {
     std::uint32_t endpoint = 0;
     std::uint32_t running = 0;
-    std::uint32_t window = 0;
-    std::uint64_t memoryTokens = 0; ///< 0 if not known
-    double movedTokensPerMs = 0; ///< of a kept prompt, from another endpoint; 0: none can be moved
+    std::uint32_t window = 0; ///< runs that it may have at once
+    std::uint64_t memoryTokens = 0; ///< capacity of its KV cache, 0 if not known
+    double movedTokensPerMs = 0; ///< speed of fetching a cached prompt from another endpoint; 0: it cannot
 };
 
-/// Part of its window that is in use.
+/// Returns the share of the window that is in use.
 inline double loadOf(const Candidate &candidate)
 {
     return static_cast<double>(candidate.running) / std::max(1U, candidate.window);
 }
 
-/// What a placement keeps of a run until it ends.
+/// The record that a placement policy needs again when the run ends.
 struct PlacedRun
 {
     std::uint32_t endpoint = 0;
-    std::uint64_t kvTokens = 0; ///< of memory that the run may come to need
-    std::uint32_t prefillTokens = 0; ///< of its prompt, that the endpoint had to read
-    int rank = 0; ///< with which the endpoint reads it
-    Base::Duration prefillTime {}; ///< time that the endpoint needs for it, beside the tokens of others
-    Base::Duration expectedFirstToken {}; ///< to the first token
-    bool wasOnlyPrefill = false; ///< the endpoint had no other prompt to read
-    std::uint32_t keeper = 0; ///< endpoint from which it takes what is kept of the prompt, 0 for none
-    std::uint32_t reliabilityEpoch = 0; ///< the endpoint's when the run was placed
-    Base::Duration allowedPause {}; ///< between its events
+    std::uint64_t kvTokens = 0; ///< KV-cache tokens that the run may need
+    std::uint32_t prefillTokens = 0; ///< tokens of its prompt that were not cached
+    int rank = 0; ///< priority of the prefill at the endpoint
+    Base::Duration prefillTime {}; ///< time of the prefill, slowed by the tokens of other runs
+    Base::Duration expectedFirstToken {}; ///< expected time from the placement to the first token
+    bool wasOnlyPrefill = false; ///< the endpoint had no other prompt to prefill
+    std::uint32_t keeper = 0; ///< endpoint from which a cached prefix is fetched, 0 for none
+    std::uint32_t reliabilityEpoch = 0; ///< epoch of the endpoint when the run was placed
+    Base::Duration allowedPause {}; ///< longest pause between events that the class allows
     Base::Instant placedAt {};
 };
 
-/// What a run's home saw of its tokens; zero where there were none.
+/// Token times of a run as its home observed them; zero where there were none.
 struct ObservedTokens
 {
-    Base::Duration first {}; ///< after the run's start
+    Base::Duration first {}; ///< time from the start of the run to the first token
     ObservedPauses pauses;
 };
 
-/// The endpoint with least to read before a prompt of some rank.
+/// The endpoint with the shortest prefill backlog before a prompt of some rank.
 struct LeastBacklog
 {
     std::uint32_t endpoint = 0;
@@ -71,23 +71,23 @@
 concept PlacementPolicy = requires(T placement, const T &constant, const QueuedAsk &ask, std::span<const Candidate> candidates,
                                    std::uint32_t endpoint, const Candidate &candidate, Base::Instant now, const PlacedRun &run,
                                    const ObservedTokens &seen, const LeastBacklog &least) {
-    /// The endpoint to use now; nothing if waiting is better. @p candidates is never empty.
+    /// Returns the endpoint to use now, or nothing if waiting is better. @p candidates is never empty.
     {
         constant.choose(ask, candidates, now)
     } -> std::same_as<std::optional<std::uint32_t>>;
-    /// How long until the first token if the best of @p candidates were used now, as far as the policy can tell.
+    /// Returns the expected time to the first token if the best of @p candidates is used now; zero if the policy has no estimate.
     {
         constant.expectedFirstToken(ask, candidates, now)
     } -> std::same_as<Base::Duration>;
-    /// Of @p candidates for prompts of one rank.
+    /// Returns the candidate with the shortest backlog for prompts of a rank.
     {
         constant.leastBacklog(1, candidates, now)
     } -> std::same_as<LeastBacklog>;
-    /// No less than expected() for the candidates that @p least was found among; costs the same for any number of them.
+    /// Returns an upper bound of expectedFirstToken() for the candidates from which @p least was found, in constant time.
     {
         constant.maxExpectedFirstToken(ask, least)
     } -> std::same_as<Base::Duration>;
-    /// How long one endpoint is kept from other prompts by @p ask.
+    /// Returns for how long the prompt of @p ask occupies an endpoint; zero if the policy has no model of engines.
     {
         constant.prefillTime(ask)
     } -> std::same_as<Base::Duration>;
@@ -95,13 +95,13 @@
         placement.recordPlacement(ask, candidate, now)
     } -> std::same_as<PlacedRun>;
     placement.recordEnd(run, seen);
-    /// The endpoint fails or leaves: others can no longer rely on what it keeps.
+    /// Marks an endpoint that fails or leaves: other endpoints can no longer rely on the prompts in its cache.
     placement.markUnreliable(endpoint);
-    /// The endpoint is gone for good.
+    /// Removes an endpoint that will not come back.
     placement.removeEndpoint(endpoint);
 };
 
-/// What policies without a model of engines have in common.
+/// Default functions for policies without a model of engines.
 class ModelFreePlacement
 {
 public:
@@ -132,7 +132,7 @@
     }
 };
 
-/// Baseline: each in turn.
+/// Baseline policy that selects the endpoints in turn.
 class RoundRobin : public ModelFreePlacement
 {
 public:
@@ -143,7 +143,7 @@
     std::uint32_t m_last = 0;
 };
 
-/// Baseline: the one with the smallest share of its window in use.
+/// Baseline policy that selects the endpoint with the smallest share of its window in use.
 class LeastLoaded : public ModelFreePlacement
 {
 public:
@@ -151,7 +151,8 @@
     PlacedRun recordPlacement(const QueuedAsk &ask, const Candidate &candidate, Base::Instant now);
 };
 
-/// The one that ran the longest known beginning of the prompt, unless its load is too far above the least loaded one's.
+/// Selects the endpoint that recently ran the longest prefix of the prompt, unless its load is too far above that of the least
+/// loaded endpoint.
 class PrefixAffinity : public ModelFreePlacement
 {
 public:
@@ -161,7 +162,7 @@
     void removeEndpoint(std::uint32_t endpoint);
 
 private:
-    /// The endpoints that ran a prefix last, the latest first.
+    /// Endpoints that ran a prefix, the latest first.
     using Holders = std::vector<std::uint32_t>;
 
     std::optional<std::uint32_t> holder(const QueuedAsk &ask, std::span<const Candidate> candidates, double maxLoad) const;
--- a/Source/Dispatch/poolparameters.h
+++ b/Source/Dispatch/poolparameters.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What the classes of one pool ask for, each by itself and beside the others.
+/// Scheduling parameters of the classes of one pool.
 
 #pragma once
 
@@ -16,25 +16,27 @@
 
 namespace Yokepond::Dispatch {
 
+/// Computes the parameters of each class, some of which depend on the other classes of the pool.
 class PoolParameters
 {
 public:
     PoolParameters(std::shared_ptr<const Configuration::Catalogue> catalogue, std::uint32_t pool);
 
+    /// Returns the parameters of the class with its own rank.
     ClassParameters forClass(const Configuration::RequestClass &requestClass) const;
 
-    /// The same for an ask whose rank is @p rank; 0: that of its class.
+    /// Returns the parameters for an ask of rank @p rank; 0 stands for the rank of the class.
     ClassParameters forClass(const Configuration::RequestClass &requestClass, int rank) const;
 
-    /// The rank of the pool's least urgent class; 0 if it has none.
+    /// Returns the rank of the pool's least urgent class; 0 if the pool has no classes.
     int lowestRank() const;
 
-    /// The shortest first-token target of the pool's classes.
+    /// Returns the shortest first-token target of the pool's classes.
     Base::Duration tightestFirstToken() const;
 
 private:
     std::vector<const Configuration::RequestClass *> classes() const;
-    /// The shortest first-token target of the classes more urgent than @p rank; zero if there are none.
+    /// Returns the shortest first-token target of the classes more urgent than @p rank; zero if there are none.
     Base::Duration tightestAbove(int rank) const;
 
     std::shared_ptr<const Configuration::Catalogue> m_catalogue;
--- a/Source/Dispatch/preference.h
+++ b/Source/Dispatch/preference.h
@@ -2,8 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Where a prompt that no endpoint is known to keep is best read: the same on every host by rendezvous hashing, so that hosts
-/// that decide apart from each other neither read it twice nor all choose one endpoint.
+/// Preferred endpoints for prompts that are not known to be in any cache. Rendezvous hashing gives the same preference on every
+/// host, so hosts that decide independently neither prefill a prompt at two endpoints nor all select the same endpoint.
 
 #pragma once
 
@@ -12,11 +12,12 @@
 
 namespace Yokepond::Dispatch {
 
-/// The longest beginning of a prompt that other prompts share: all but the last part, which is the request's own. 0 if the
-/// prompt has no parts.
+/// Returns the hash of the longest prefix that a prompt shares with others. That is all but the last part, which belongs to this
+/// request alone. Returns 0 if the prompt has no parts.
 std::uint64_t sharedPrefix(std::span<const std::uint64_t> prefix);
 
-/// The endpoint with the highest weight is preferred for prompts that begin with @p shared.
+/// Returns the weight of an endpoint for prompts with the prefix hash @p shared. The endpoint with the highest weight is
+/// preferred.
 std::uint64_t rendezvousWeight(std::uint32_t endpoint, std::uint64_t shared);
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/prefillpauses.cpp
+++ b/Source/Dispatch/prefillpauses.cpp
@@ -14,16 +14,18 @@
 using Base::Duration;
 using Base::Instant;
 
-/// Pauses are expected to within this part of what is allowed: below it a stream is in time, above its mirror image late.
+/// Uncertainty of an expected pause, relative to the allowed pause. Below 1 - uncertainty of the allowed pause a stream is on
+/// time, above 1 + uncertainty it is late; the probability rises linearly between the two.
 constexpr double uncertainty = 0.2;
-/// An engine is taken to read on as it did for so long, so that those with long reads stay apart from tight streams between two
-/// such reads. Where answers take 2.6 s, mean worth was 0.701 with 2 s, 0.707 with 4 s and 0.709 with 8 s (trials of 10, 15 and
-/// 15 days); a memory longer than needed finds no engine without long reads.
+/// The longest prefill within this period is taken as the prediction for an engine. This keeps streams that allow only short
+/// pauses away from an engine between two long prefills. Where responses take 2.6 s, the mean worth was 0.701 with 2 s, 0.707
+/// with 4 s and 0.709 with 8 s (trials of 10, 15 and 15 days). With a longer period than needed, no engine without long prefills
+/// is left.
 constexpr Duration recentPeriod = std::chrono::seconds(4);
-/// Longer ago than any run that is still under way began.
+/// Bursts are kept for this time, which is longer than any active run has lasted.
 constexpr Duration burstRetention = std::chrono::seconds(30);
-/// Of the latest run, in what is learned. The longest pause follows what is longer fifty times faster than what is shorter, so
-/// that it stays near the longest of fifty runs: most do not meet the whole of what the engine reads.
+/// Weight of the latest run in the moving averages. The longest pause follows a longer observation fifty times faster than a
+/// shorter one, and so stays near the longest of fifty runs. Most runs overlap only a part of the prefill.
 constexpr double latestWeight = 0.1;
 constexpr double latestWeightIfShorter = 0.002;
 
@@ -133,7 +135,7 @@
         return;
     }
     m_meanPause = m_meanPause == Duration::zero() ? seen.mean : movingAverage(m_meanPause, seen.mean, latestWeight);
-    // A pause as long as the engine read tells nothing of how long one can get, and a longer one has another cause.
+    // A pause that lasts as long as the prefill does not show how long a pause can get, and a longer one has another cause.
     if (longestBurst(firstToken) < seen.longest) {
         return;
     }
--- a/Source/Dispatch/prefillpauses.h
+++ b/Source/Dispatch/prefillpauses.h
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What reading prompts does to the streams that run at the same engine: their tokens come between its pieces.
+/// Pauses in the streams of an engine that are caused by prefill: the engine produces the tokens of active streams between the
+/// chunks of a prompt.
 
 #pragma once
 
@@ -14,58 +15,64 @@
 
 namespace Yokepond::Dispatch {
 
-/// The pauses between events that a run's home saw; zero where there were none.
+/// Pauses between the events of a stream as the run's home observed them; zero where there were none.
 struct ObservedPauses
 {
     Base::Duration mean {};
     Base::Duration longest {};
 };
 
-/// How long a pause can get, however long an engine reads: near the longest of those that ended runs saw.
+/// Estimates the longest pause that a prefill of any length causes. It stays close to the longest pauses of ended runs.
 class LongestPause
 {
 public:
-    /// Takes in the longest pause of a run beside which the engine read for longer than that.
+    /// Adds the longest pause of a run during which the engine did a prefill at least that long.
     void update(Base::Duration seen);
 
-    /// Zero before any has been seen.
+    /// Returns zero before the first observation.
     Base::Duration value() const;
 
 private:
     Base::Duration m_value {};
 };
 
-/// The streams of one engine by the pause they are allowed, and how many of them reading would make late.
+/// Estimates how many streams of one engine a prefill would make late, that is, give a pause longer than their class allows.
 ///
-/// While an engine reads for a time B, a stream pauses for no longer than B, and for no longer than its tokens of one event take
-/// when each comes with a piece of a prompt. The second bound is learned from the pauses that ended runs saw.
+/// While an engine does prefill for a time B, a stream pauses for at most B. It also pauses for at most the time that the tokens
+/// of one event take when the engine handles a chunk of a prompt before each token. This second bound is learned from the pauses
+/// of ended runs.
 class PrefillPauses
 {
 public:
-    /// What @p ofPool has learned counts until this engine has shown pauses of its own.
+    /// @p poolLongestPause is shared by all engines of the pool and is used until this engine has observations of its own.
     explicit PrefillPauses(std::shared_ptr<LongestPause> poolLongestPause = std::make_shared<LongestPause>());
 
-    /// Streams under way, in time so far, that would be late if the engine read for @p after in a row in place of @p before.
+    /// Returns the expected number of active streams that are on time now and become late if the engine's uninterrupted prefill
+    /// takes
+    /// @p after instead of @p before.
     double expectedNewlyLate(Base::Duration before, Base::Duration after) const;
 
-    /// How likely a stream that is allowed pauses of @p allowed would be late, if the engine reads on as it did lately.
+    /// Returns the probability that a new stream with the limit @p allowed becomes late, if the engine's prefill continues as it
+    /// was recently.
     double lateProbability(Base::Duration allowed, Base::Instant now) const;
 
-    /// The engine will read for @p after in a row in place of @p before.
+    /// Records that the engine's uninterrupted prefill now takes @p after instead of @p before.
     void recordPrefill(Base::Instant now, Base::Duration before, Base::Duration after);
 
+    /// Adds a stream whose pauses may be up to @p allowed; zero: it has no limit.
     void addStream(Base::Duration allowed);
 
-    /// A run whose first token came at @p firstToken has ended, with the pauses that were seen.
+    /// Removes a stream whose first token came at @p firstToken, and learns from its observed pauses.
     void removeStream(Base::Duration allowed, Base::Instant firstToken, const ObservedPauses &seen);
 
 private:
     struct Streams
     {
-        double running = 0;
-        double onTime = 0; ///< expected, of those
+        double running = 0; ///< active streams
+        double onTime = 0; ///< expected number of active streams without a pause that was too long
     };
 
+    /// A period of uninterrupted prefill.
     struct Burst
     {
         Base::Instant at {};
@@ -74,13 +81,13 @@
 
     Base::Duration expectedPause(Base::Duration burst) const;
     double lateProbabilityFor(Base::Duration burst, Base::Duration allowed) const;
-    /// The longest that the engine read in a row at one time since then.
+    /// Returns the longest uninterrupted prefill since @p since. Counts only the part of an older burst that lies after it.
     Base::Duration longestBurst(Base::Instant since) const;
     void updateEstimates(Base::Instant firstToken, const ObservedPauses &seen);
 
-    std::map<Base::Duration, Streams> m_streams; ///< by the pause they are allowed
+    std::map<Base::Duration, Streams> m_streams; ///< by the longest allowed pause
     std::deque<Burst> m_bursts; ///< oldest first, each longer than all after it
-    Base::Duration m_meanPause {}; ///< between events
+    Base::Duration m_meanPause {}; ///< moving average of the time between events
     LongestPause m_longest;
     std::shared_ptr<LongestPause> m_poolLongestPause;
 };
--- a/Source/Dispatch/promptcache.cpp
+++ b/Source/Dispatch/promptcache.cpp
@@ -33,10 +33,10 @@
     if (chain.prefix.size() != chain.tokens.size()) {
         return;
     }
-    // From the end, so that a part is always used later than those that need it.
+    // Iterates from the end, so that a part always counts as used more recently than the parts that depend on it.
     for (std::size_t index = chain.prefix.size(); index-- > 0;) {
         const std::uint32_t before = index == 0 ? 0 : chain.tokens[index - 1];
-        // Callers tell the lengths; they may not grow from part to part.
+        // The lengths come from callers and may be inconsistent, that is, not grow from part to part.
         const std::uint32_t own = chain.tokens[index] - std::min(before, chain.tokens[index]);
         const auto [entry, added] = m_parts.try_emplace(chain.prefix[index]);
         if (added) {
--- a/Source/Dispatch/promptcache.h
+++ b/Source/Dispatch/promptcache.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What a dispatcher thinks an engine keeps of the prompts it has read: an estimate from the runs sent there.
+/// Estimate of the prompts in an engine's KV cache, made from the runs that the dispatcher sent to the engine.
 
 #pragma once
 
@@ -16,40 +16,40 @@
 
 namespace Yokepond::Dispatch {
 
-/// A prompt as a chain of parts: the hash of each beginning, and the tokens up to its end.
+/// A prompt as a chain of parts: the hash of each prefix, and its length in tokens.
 struct PromptChain
 {
     std::span<const std::uint64_t> prefix;
-    std::span<const std::uint32_t> tokens; ///< as many as there are entries in prefix, else nothing is known to be kept
+    std::span<const std::uint32_t> tokens; ///< one entry for each of prefix; otherwise the chain counts as not cached
 };
 
-/// The least recently used parts give way.
+/// A cache of prompt parts that evicts the least recently used parts first.
 class PromptCache
 {
 public:
-    /// Tokens of @p chain's beginning that are kept, or will be when what was sent before has been read.
+    /// Returns the length in tokens of the cached prefix of @p chain. It includes parts that the engine still has to prefill.
     std::uint32_t cachedTokens(const PromptChain &chain) const;
 
-    /// Tokens of @p chain's beginning that have been read by @p now.
+    /// Returns the length in tokens of the prefix of @p chain whose prefill is complete at @p now.
     std::uint32_t cachedTokensBy(const PromptChain &chain, Base::Instant now) const;
 
-    /// Notes that the whole of @p chain will have been read at @p readAt.
+    /// Adds all parts of @p chain, whose prefill will be complete at @p readAt.
     void insert(const PromptChain &chain, Base::Instant readAt);
 
-    /// Forgets the parts used least recently until at most @p tokens are kept.
+    /// Evicts the least recently used parts until at most @p tokens are left.
     void shrink(std::uint64_t tokens);
 
 private:
     struct Part
     {
-        std::uint32_t tokens = 0;
-        std::list<std::uint64_t>::iterator position;
-        Base::Instant readAt {}; ///< for the first time
+        std::uint32_t tokens = 0; ///< length of this part alone
+        std::list<std::uint64_t>::iterator position; ///< entry in m_byUse
+        Base::Instant readAt {}; ///< when its first prefill is complete
     };
 
     absl::flat_hash_map<std::uint64_t, Part> m_parts;
-    std::list<std::uint64_t> m_byUse; ///< the latest first
-    std::uint64_t m_tokens = 0;
+    std::list<std::uint64_t> m_byUse; ///< most recently used first
+    std::uint64_t m_tokens = 0; ///< sum over all parts
 };
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/queuedask.h
+++ b/Source/Dispatch/queuedask.h
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// An ask in a dispatcher's queue, and the name that is unique over all homes.
+/// An ask in a dispatcher's queue, and its key, which is unique over all homes. An ask is a home's request to a dispatcher for an
+/// endpoint.
 
 #pragma once
 
@@ -15,7 +16,7 @@
 
 namespace Yokepond::Dispatch {
 
-/// Who asks: a host in one of its incarnations.
+/// The home that sent an ask: a host that accepted the request, in one of its incarnations.
 struct Home
 {
     std::string name;
@@ -24,39 +25,39 @@
     auto operator<=>(const Home &) const = default;
 };
 
-/// Names one try of one request in the whole fleet.
+/// Identifies one attempt of one request in the whole fleet.
 struct AskKey
 {
-    std::uint64_t home = 0; ///< incarnation, which is unique
+    std::uint64_t home = 0; ///< incarnation of the home, unique in the fleet
     Peer::AttemptId id;
 
     auto operator<=>(const AskKey &) const = default;
 };
 
-/// What of the request's class decides about its order.
+/// The parameters of a request's class that the dispatcher needs for scheduling.
 struct ClassParameters
 {
-    std::uint32_t number = 0;
-    int rank = 0; ///< of the tier; 1 is the highest
-    Base::Duration firstToken {}; ///< target
-    Base::Duration tokenGap {}; ///< target
-    Base::Duration starvationBound {};
-    Base::Duration tightestAbove {}; ///< first-token target of the tiers above in the pool, zero if there is none
+    std::uint32_t number = 0; ///< number of the class
+    int rank = 0; ///< rank of the tier; 1 is the highest
+    Base::Duration firstToken {}; ///< target for the time to the first token
+    Base::Duration tokenGap {}; ///< target for the time between tokens
+    Base::Duration starvationBound {}; ///< wait after which the class gets a guaranteed share
+    Base::Duration tightestAbove {}; ///< shortest first-token target of the pool's tiers above, zero if there is none
 };
 
-/// An ask with its times on the dispatcher's clock.
+/// An ask with its times converted to the dispatcher's clock.
 struct QueuedAsk
 {
     AskKey key;
     Home home;
     Peer::Ask ask;
     ClassParameters parameters;
-    std::uint32_t weight = 1; ///< of the organisation
-    Base::Instant received {};
-    Base::Instant arrival {}; ///< of the caller's request
-    Base::Instant deadline {};
+    std::uint32_t weight = 1; ///< weight of the organisation
+    Base::Instant received {}; ///< when the ask reached the dispatcher
+    Base::Instant arrival {}; ///< when the caller's request reached the home
+    Base::Instant deadline {}; ///< deadline of the request
 
-    /// When the first token must have come for the target to be met.
+    /// Returns the time by which the first token must arrive to meet the target.
     Base::Instant target() const
     {
         return arrival + parameters.firstToken;
--- a/Source/Dispatch/shard.cpp
+++ b/Source/Dispatch/shard.cpp
@@ -25,39 +25,43 @@
 using Peer::RefusalReason;
 using Peer::RunResult;
 
-/// On top of the median first-token time, for an ask to count as still on time.
+/// Factor on the median first-token time when the dispatcher decides whether an ask can still be on time.
 constexpr double firstTokenMargin = 1.5;
+/// Allowance for network delays in the same decision.
 constexpr Duration expectedNetworkDelay = std::chrono::milliseconds(20);
-/// How long a grant may wait at its home before the run must have started.
+/// A home must start the run within this time after the grant.
 constexpr Duration startTimeout = std::chrono::seconds(2);
-/// After a take-over the homes' reports of running permits are awaited; until then windows count for half.
+/// After a takeover the new dispatcher waits this long for the homes' reports of running permits. Meanwhile it uses half of each
+/// window.
 constexpr Duration takeoverPeriod = std::chrono::milliseconds(300);
-/// Whoever dispatched an endpoint before may grant by its own count until all hosts know of the change, and what it granted is
-/// still to arrive.
+/// The previous dispatcher of an endpoint may still grant runs from its own count until all hosts know of the change, and its
+/// last grants arrive even later. Until then this dispatcher uses half of an advertised rate limit.
 constexpr Duration sharedRatePeriod = std::chrono::seconds(4);
+/// Period over which the rate of grants is measured, and the weight of the latest period in its moving average.
 constexpr Duration ratePeriod = std::chrono::seconds(1);
 constexpr double latestRateWeight = 0.4;
 constexpr Duration minRetryAfter = std::chrono::milliseconds(500);
-/// On top of the time by which an ask would be late: the next try must not meet just the same.
+/// Added to the expected lateness in the retry time of a refused ask, so that the next attempt does not find the same state.
 constexpr Duration minExtraRetryAfterLate = std::chrono::milliseconds(100);
 constexpr Duration maxRetryAfter = std::chrono::seconds(30);
-/// Over so long come back those that were refused since all endpoints rested.
+/// Asks that were refused because of cooldowns are retried at random times within this period.
 constexpr Duration cooldownRetryJitter = std::chrono::milliseconds(500);
-/// A permit is given up by its home's report only if it is older: the grant may still be on its way.
+/// A home's report that lacks a permit drops it only if the permit is older than this, since the grant may still be on its way.
 constexpr Duration reportGrace = std::chrono::seconds(3);
 constexpr Duration maxEjection = std::chrono::seconds(30);
 constexpr Duration maxEjectionOfLastEndpoint = std::chrono::seconds(2);
-/// Asks that are looked at in vain, beyond those that can be granted: few at each ask and release, since hundreds come in a
-/// second and each look costs some 0.5 us an endpoint, and more at each tick, so that those further behind find the engine that
-/// keeps their prompts. With 24 at each event the dispatcher of 90 engines spent its processor on looks in a burst of long
-/// prompts, and 0.39 of the worth of such a day was served where 0.74 is with processor time for nothing.
+/// Limits on the asks that are evaluated and skipped because no endpoint can take them. The limit is low for each ask and
+/// release, because hundreds of them arrive in a second and each evaluation costs about 0.5 us per endpoint. It is higher for a
+/// tick, so that asks further back in the queue find the engine that keeps their prompts. With a limit of 24 for each event, the
+/// dispatcher of 90 engines used up its processor time on evaluations in a burst of long prompts: it achieved 0.39 of the worth
+/// of that day, against 0.74 when processor time cost nothing.
 constexpr std::size_t maxSkippedPerEvent = 3;
 constexpr std::size_t maxSkippedPerTick = 64;
-constexpr std::size_t maxEjectedDivisor = 3; ///< at most a third of the endpoints are ejected for being worse than the others
-/// A permit outlives its request's deadline by so much: the home's word of its end may still be on the way.
+constexpr std::size_t maxEjectedDivisor = 3; ///< at most a third of the endpoints are ejected because the others are better
+/// A permit is kept this long after the deadline of its request, since the release may still be on its way.
 constexpr Duration expiryGrace = std::chrono::milliseconds(500);
 
-/// As the home names it in its own log.
+/// Returns the name that the home uses for the request in its own log.
 std::string requestName(const Home &home, const AskKey &key)
 {
     return fmt::format("{}.{:x}.{}", home.name, home.incarnation, key.id.request);
@@ -115,12 +119,12 @@
     }
     m_order = makeOrder(m_catalogue->policies());
     if (m_catalogue->policies().placement != m_placementPolicy || m_endpoints.empty()) {
-        // What it has learned is kept as long as the policy stays.
+        // The placement keeps what it has learned unless the policy itself changes.
         m_placementPolicy = m_catalogue->policies().placement;
         m_placement = makePlacement(m_catalogue->policies());
     }
     for (QueuedAsk &ask : waiting) {
-        // A class that was deleted meanwhile leaves its asks their last terms.
+        // Asks of a class that has been deleted keep their last parameters.
         if (const RequestClass *requestClass = m_catalogue->classNumbered(ask.ask.requestClass)) {
             ask.parameters = poolParameters().forClass(*requestClass, ask.ask.rank);
         }
@@ -139,7 +143,7 @@
         return removed;
     });
     for (auto &[number, state] : m_endpoints) {
-        // One that left the shard with runs under way gets nothing new.
+        // An endpoint that left the shard while runs are active gets no new ones.
         state.drained = std::ranges::find(m_info.endpoints, number) == m_info.endpoints.end();
     }
     for (const std::uint32_t number : m_info.endpoints) {
@@ -160,7 +164,7 @@
     markUnusableUnreliable();
 }
 
-/// Endpoints that leave answer to none but their own runs.
+/// A leaving endpoint serves only its own runs, so other engines cannot fetch prompts from it.
 void Shard::markUnusableUnreliable()
 {
     for (const auto &entry : m_endpoints) {
@@ -171,9 +175,10 @@
     }
 }
 
-/// The platform lists an engine for seconds after its end. Another that has its address meanwhile rejects at once what is meant
-/// for it, and by having nothing to do draws all that comes: 38 engines that had crashed drew 1,103 of 26,700 requests in 14 s,
-/// up to 90 each (the large deployment, a fifth and then a quarter of 320 engines crashing in a burst).
+/// Stops grants for an endpoint whose address belongs to another engine now. The platform lists an engine for some seconds after
+/// it ended. An engine that has taken over its address rejects the requests meant for the old one at once. The old endpoint then
+/// seems idle and attracts all new requests: 38 crashed engines received 1,103 of 26,700 requests in 14 s, up to 90 each (large
+/// deployment, a fifth and then a quarter of 320 engines crashing in a burst).
 void Shard::markReplaced(std::uint32_t endpoint)
 {
     const auto entry = m_endpoints.find(endpoint);
@@ -214,7 +219,7 @@
 {
     const AskKey key {home.incarnation, message.id};
     if (const auto permit = m_permits.find(key); permit != m_permits.end()) {
-        // The ask was repeated because the home may not have got the answer.
+        // The home repeats an ask when it may not have received the reply.
         m_replies.push_back({home, permit->second.grant});
         return;
     }
@@ -285,7 +290,8 @@
     return static_cast<double>(ahead) / m_grantsPerSecond > Base::seconds(ask.deadline - now);
 }
 
-/// What cannot begin before its deadline would wait in vain, whatever its tier; else a tier has to have refusals left.
+/// An ask that cannot start before its deadline may always be refused, whatever its tier. One that would only miss its target
+/// may be refused if its tier has refusals left.
 bool Shard::mayRefuseAsLate(const QueuedAsk &ask, const WaitEstimate &estimate)
 {
     return estimate.missesDeadline
@@ -306,7 +312,7 @@
     return ahead;
 }
 
-/// What has become too late while it waited gives its place to what can still be on time.
+/// Refuses asks that have become late while they were queued, so that others can still be on time.
 void Shard::refuseLate(Instant now)
 {
     if (queued() == 0 || !m_catalogue->policies().refuseLate) {
@@ -389,8 +395,8 @@
     m_order = makeOrder(m_catalogue->policies());
 }
 
-/// Where all endpoints rest: when the first of them takes requests again, so spread that not all that were refused return at
-/// once.
+/// Returns when a late ask may be retried. While all endpoints are in cooldown this is the end of the first cooldown, plus a
+/// jitter so that the refused asks do not all return at once.
 Duration Shard::retryAfterLate(const QueuedAsk &ask, const WaitEstimate &estimate)
 {
     const Duration late = estimate.lateness + minExtraRetryAfterLate;
@@ -417,7 +423,7 @@
     if (std::visit([&](auto &order) { return order.remove(key); }, m_order)) {
         ++m_counters.withdrawn;
     } else {
-        // The grant crossed the withdrawal; the home will not use it.
+        // The grant was sent before the withdrawal arrived; the home will not use it.
         dropPermit(key);
     }
     dispatchQueued(now, maxSkippedPerEvent);
@@ -515,8 +521,8 @@
     }
 }
 
-/// Every run at an endpoint that limits its rate is to be counted, and only the dispatcher sees them all. What it counts by it
-/// has from the homes: those whose runs were told, and those that know better than a grant that comes to them.
+/// Only the dispatcher sees all runs at an endpoint, so it enforces the rate limit of the endpoint. Homes send it the limit:
+/// those that received it in a response, and those whose information is newer than that in a grant.
 void Shard::applyRateUpdate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
 {
     const Rate::KnownRate before = state.rateLimiter.known();
@@ -663,7 +669,7 @@
         if (!bad || state.health.state() == HealthState::Ejected) {
             continue;
         }
-        // With no other endpoint left there is nothing to spare by probing seldom.
+        // With no other endpoint left, a long ejection would only delay the recovery.
         const bool last = ejected + 1 >= m_endpoints.size();
         state.health.eject(now, last ? maxEjectionOfLastEndpoint : maxEjection);
         std::visit([&](auto &placement) { placement.markUnreliable(number); }, m_placement);
@@ -709,7 +715,7 @@
     if (!median) {
         return Duration::zero();
     }
-    // Runs differ: an ask that would only just be on time by the median is more often late.
+    // Runs vary: of the asks that would just be on time with the median, more than half are late.
     return std::chrono::duration_cast<Duration>(*median * firstTokenMargin) + expectedNetworkDelay;
 }
 
@@ -720,7 +726,7 @@
     }
     const Duration expected = expectedFirstToken();
     std::vector<Candidate> withFreeSlots = candidates(now);
-    // One that no endpoint can take now, for its size or for the prompts it would wait behind, holds up none of the others.
+    // An ask that no endpoint can take now, because of its size or the prefill backlog, does not block the asks behind it.
     std::vector<QueuedAsk> skipped;
     while (queued() > 0 && skipped.size() < maxSkipped && !withFreeSlots.empty()) {
         const auto key = std::visit([&](auto &order) { return order.next(now, expected); }, m_order);
@@ -735,12 +741,12 @@
     std::ranges::for_each(skipped, [this](const QueuedAsk &ask) { enqueue(ask); });
 }
 
-/// Grants @p waiting if there is an endpoint for it now among those @p withRoom.
+/// Grants @p waiting if one of the endpoints in @p withFreeSlots can take it now. Returns whether it did.
 bool Shard::tryGrant(Instant now, const QueuedAsk &waiting, const std::vector<Candidate> &withFreeSlots)
 {
     ++m_counters.evaluations;
     std::vector<Candidate> others;
-    // The endpoint of a failed try is used again only if there is no other.
+    // The endpoint of a failed attempt is used again only if it is the only one with free slots.
     const bool avoids = waiting.ask.avoid != 0 && withFreeSlots.size() > 1;
     const bool filters = avoids || !m_coolingDown.empty();
     if (filters) {
@@ -775,7 +781,8 @@
     const Rate::RateWord rate = state.rateLimiter.known().word(now);
     state.rateLimiter.spend(now);
     state.cooldowns.recordGrant(now);
-    // The home's clock runs as fast as this one, so that the time waited here can be added to the time it sent the ask.
+    // startBy is on the home's clock. Both clocks run at the same speed, so the time that the ask was queued here can be added to
+    // the time at which the home sent it.
     const Instant startBy = ask.ask.sentAt + (now - ask.received) + startTimeout;
     Permit permit {ask.home,
                    endpoint,
--- a/Source/Dispatch/shard.h
+++ b/Source/Dispatch/shard.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// One shard at its dispatcher: the queue over all homes' asks, the endpoints' loads, and the permits given out.
+/// The dispatcher's state of one shard: the queue of asks from all homes, the load of the endpoints, and the outstanding permits.
 
 #pragma once
 
@@ -27,66 +27,74 @@
 
 namespace Yokepond::Dispatch {
 
-/// A message to a home.
+/// A message that the dispatcher sends to a home.
 struct Reply
 {
     Home home;
     Peer::Message message;
 };
 
-/// Totals since the shard came to this dispatcher.
+/// Counts events since this host became the dispatcher of the shard.
 struct ShardCounters
 {
     std::uint64_t asked = 0;
     std::uint64_t granted = 0;
     std::uint64_t refused = 0;
-    std::uint64_t shed = 0;
-    std::uint64_t withdrawn = 0;
+    std::uint64_t shed = 0; ///< evicted because the queue was full
+    std::uint64_t withdrawn = 0; ///< withdrawn by their home, or removed with it
     std::uint64_t released = 0;
     std::uint64_t ejections = 0;
-    std::uint64_t evaluations = 0; ///< asks weighed against all endpoints, in vain or not
+    std::uint64_t evaluations = 0; ///< asks that were evaluated against the endpoints, granted or not
 };
 
-/// Where an ask stands.
+/// The position of an ask in the queue, or its permit.
 struct AskView
 {
     bool queued = false;
-    std::size_t ahead = 0; ///< asks of its tier and above
-    std::size_t total = 0;
-    std::uint32_t endpoint = 0; ///< of its permit, 0 if it has none
+    std::size_t ahead = 0; ///< queued asks of its tier and the tiers above
+    std::size_t total = 0; ///< all queued asks of the shard
+    std::uint32_t endpoint = 0; ///< endpoint of its permit, 0 if it has none
 };
 
-/// Pure state machine. Every ask is answered exactly once: by a grant, a refusal, or its home's own withdrawal.
+/// Queues the asks of one shard and grants them endpoints. It does no I/O: the caller passes in the time and the messages, and
+/// collects the replies with takeReplies(). Every ask ends exactly once, with a grant, a refusal or a withdrawal by its home.
 class Shard
 {
 public:
     Shard(const ShardInfo &info, std::shared_ptr<const Configuration::Catalogue> catalogue, Base::Instant now);
 
-    /// Takes over a changed configuration or set of endpoints; queued asks follow their class's new terms.
+    /// Applies a changed configuration or set of endpoints. Queued asks get the new parameters of their class.
     void configure(const ShardInfo &info, std::shared_ptr<const Configuration::Catalogue> catalogue, Base::Instant now);
 
+    /// Grants, queues or refuses an ask of @p home. A repeated ask gets the reply of the first one again.
     void ask(Base::Instant now, const Home &home, const Peer::Ask &ask);
+
+    /// Removes a queued ask, or returns its permit if the grant is already on its way.
     void withdraw(Base::Instant now, const Home &home, const Peer::Withdrawal &withdrawal);
+
+    /// Returns a permit and records the result of its run.
     void release(Base::Instant now, const Home &home, const Peer::Release &release);
 
-    /// Sets the permits of @p home to those it reports: unknown ones are added, and missing ones given up.
+    /// Synchronises the permits of @p home with its report: adds permits that are unknown here, and drops those that it does not
+    /// list.
     void report(Base::Instant now, const Home &home, const Peer::RunningReport &report);
 
-    /// A home knows something of an endpoint by the endpoint's own answers.
+    /// Applies what an endpoint advertised in its responses to @p home: its rate limit, a cooldown, or that it is leaving.
     void applyEndpointUpdate(Base::Instant now, const Home &home, const Peer::EndpointNews &news);
 
-    /// Drops all asks and permits of a home that is dead; an incarnation of 0 stands for all but @p keep.
+    /// Drops all asks and permits of the home called @p name, except those of its incarnation @p keep (0: drops all).
     void removeHome(Base::Instant now, const std::string &name, std::uint64_t keep);
 
-    /// An endpoint that the platform lists as leaving, or no longer does.
+    /// Sets the endpoints that the platform lists as leaving.
     void setLeaving(Base::Instant now, const std::vector<std::uint32_t> &endpoints);
 
-    /// Refuses what has passed its deadline, ejects and returns endpoints, and grants what there is room for.
+    /// Refuses asks that passed their deadline, ejects endpoints and returns ejected ones, and grants asks while slots are free.
     void tick(Base::Instant now);
 
-    /// Answers every queued ask with RefusalReason::NotDispatcher.
+    /// Refuses every queued ask with RefusalReason::NotDispatcher, since another host becomes the dispatcher.
     void handOver();
 
+    /// Returns the messages to send since the last call.
     std::vector<Reply> takeReplies();
 
     const ShardInfo &info() const;
@@ -100,6 +108,7 @@
 private:
     using Order = std::variant<FifoOrder, TieredOrder>;
 
+    /// A grant that is given and not yet released.
     struct Permit
     {
         Home home;
@@ -107,71 +116,86 @@
         ClassParameters parameters;
         Base::Instant grantedAt {};
         Peer::Grant grant;
-        bool windowWasFull = false;
+        bool windowWasFull = false; ///< the window of the endpoint was full after the grant
         PlacedRun placed;
-        Base::Instant expires = Base::Instant::max(); ///< a run cannot last longer; its release must have been lost
-        bool accepted = false; ///< it would have been turned away by now
+        Base::Instant expires = Base::Instant::max(); ///< after this the run must have ended and its release was lost
+        bool accepted = false; ///< the endpoint would have rejected the run by now
     };
 
     static Order makeOrder(const Configuration::Policies &policies);
     static Placement makePlacement(const Configuration::Policies &policies);
     Window makeWindow(std::uint32_t slots) const;
 
+    /// Creates the queue and the placement that the configuration asks for, and moves the queued asks to the new queue.
     void buildPolicies();
     void configureEndpoints(Base::Instant now);
+    /// Marks unusable endpoints as unreliable in the placement.
     void markUnusableUnreliable();
     void markReplaced(std::uint32_t endpoint);
     PoolParameters poolParameters() const;
     void enqueue(const QueuedAsk &ask);
+    /// Evicts one ask if the queue is over its limit.
     void shedOverLimit(const QueuedAsk &newAsk);
+    /// Returns whether the ask has passed its deadline, or, with the setting hopeless-shedding, would pass it in the queue at the
+    /// present rate of grants.
     bool willMissDeadline(Base::Instant now, const QueuedAsk &ask) const;
     void refuse(const QueuedAsk &ask, Peer::RefusalReason reason);
     void refuse(const QueuedAsk &ask, Peer::RefusalReason reason, Base::Duration retryAfter);
-    /// Grants what there is room for; looks at @p mostPassedOver asks in vain before it gives up.
+    /// Grants queued asks while slots are free. Stops after @p maxSkipped asks that no endpoint can take now.
     void dispatchQueued(Base::Instant now, std::size_t maxSkipped);
     bool tryGrant(Base::Instant now, const QueuedAsk &waiting, const std::vector<Candidate> &withFreeSlots);
     std::vector<Candidate> candidates(Base::Instant now) const;
-    /// Slots of its window that are free.
+    /// Returns the free slots in the window of an endpoint.
     std::uint32_t freeSlots(const EndpointState &state, Base::Instant now) const;
     void grant(Base::Instant now, const QueuedAsk &ask, std::uint32_t endpoint);
     void dropPermit(const AskKey &key, const ObservedTokens &seen = {});
     bool mayRefuseAsLate(const QueuedAsk &ask, const WaitEstimate &estimate);
+    /// Returns the queued asks that are served before @p ask.
     QueueAhead aheadOf(const QueuedAsk &ask) const;
     void refuseLate(Base::Instant now);
+    /// Drops permits that have expired, and notes the runs that their endpoints did not reject in time.
     void dropExpiredPermits(Base::Instant now);
+    /// Ejects endpoints that fail, and those that are much worse than the median of the shard.
     void ejectUnhealthy(Base::Instant now);
     void applyRateUpdate(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
     void applyLeavingUpdate(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
     void applyCooldownUpdate(Base::Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state);
     void recordRejectedRun(Base::Instant now, const Home &home, std::uint32_t endpoint);
+    /// Removes the cooldowns and announcements of leaving that have ended.
     void expireAnnouncements(Base::Instant now);
+    /// Returns whether no cooldown of @p endpoint prevents a run of the ask's home.
     bool isAllowed(Base::Instant now, const QueuedAsk &ask, std::uint32_t endpoint) const;
+    /// Returns the expected time from a grant to the first token; zero without observations.
     Base::Duration expectedFirstToken() const;
+    /// Returns the time that the queue needs to drain at the present rate of grants, within bounds.
     Base::Duration retryAfter() const;
     static Base::Duration retryAfterLate(const QueuedAsk &ask, const WaitEstimate &estimate);
+    /// Returns the load of the shard: asks queued and running per thousand slots.
     std::uint32_t pressure() const;
-    /// Why no endpoint can be expected to take work, if none can.
+    /// Returns why no endpoint can accept work, or nothing if one can.
     std::optional<Peer::RefusalReason> reasonForNoEndpoint() const;
+    /// Refuses all queued asks if no endpoint can accept work.
     void refuseAllIfNoEndpoint();
     void noteGrant(Base::Instant now);
+    /// Checks the invariant that the endpoints' run counts add up to the permits.
     void checkPermits() const;
 
     ShardInfo m_info;
     std::shared_ptr<const Configuration::Catalogue> m_catalogue;
-    Base::Instant m_takeoverAt;
+    Base::Instant m_takeoverAt; ///< when this host became the dispatcher
     Configuration::PlacementPolicy m_placementPolicy {};
     Order m_order;
     Placement m_placement;
     EndpointStates m_endpoints;
-    std::unordered_map<AskKey, Permit, AskKeyHash> m_permits;
+    std::unordered_map<AskKey, Permit, AskKeyHash> m_permits; ///< outstanding permits
     std::vector<Reply> m_replies;
     ShardCounters m_counters;
-    double m_grantsPerSecond = 0;
+    double m_grantsPerSecond = 0; ///< moving average
     std::uint64_t m_grantsInPeriod = 0;
     Base::Instant m_periodBegan {};
     LateRefusals m_lateRefusals;
-    std::set<std::uint32_t> m_coolingDown; ///< endpoints that have asked some home for rest
-    bool m_saturated = false; ///< asks waited through the whole present period
+    std::set<std::uint32_t> m_coolingDown; ///< endpoints that have a cooldown for at least one home
+    bool m_saturated = false; ///< asks were queued at the end of the last rate period
 };
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/shardmap.cpp
+++ b/Source/Dispatch/shardmap.cpp
@@ -20,14 +20,16 @@
 using Peer::Member;
 using Peer::MemberState;
 
-/// Of a dispatcher's processor, for its decisions at the rate below. The rest is for its own callers, messages and bursts.
+/// Share of a dispatcher's processor time for scheduling decisions at the rate below. The remaining time is for its own callers,
+/// messages and bursts.
 constexpr double cpuShareForDecisions = 1.0 / 3.0;
-/// Requests a second before one endpoint at the target size (5,600 before 600). Today's largest deployment has a third of it.
+/// Requests per second for each endpoint at the target size of 5,600 requests per second and 600 endpoints. The present largest
+/// deployment has a third of this rate.
 constexpr double decisionsPerSecondPerEndpoint = 9.3;
-/// Processor time of a request at its dispatcher for each endpoint of the shard: 0.044 of a core with 320 endpoints and 960
-/// requests a second (a day of high load of the large deployment, the busiest host, its own callers included).
+/// Processor time of one decision for each endpoint of the shard. Measured as 0.044 of a core with 320 endpoints and 960 requests
+/// per second (busiest host on a day of high load of the large deployment, including its own callers).
 constexpr double cpuSecondsPerDecisionPerEndpoint = 0.14e-6;
-/// Where the processor is not known, or small.
+/// Shard size when the hosts' processors are not known, and the minimum.
 constexpr std::size_t minEndpointsPerShard = 32;
 
 struct GroupKey
@@ -43,9 +45,10 @@
     return static_cast<std::uint32_t>(Base::hash64(fmt::format("{}/{}/{}", group.pool, group.dataCentre, index)));
 }
 
-/// The shards of one group; each gets the same share of the asks, so that their sizes must not differ. Rendezvous hashing
-/// (Thaler and Ravishankar, 1998) with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018): the shard with the highest
-/// hash wins unless it is full, so that an endpoint that comes or goes moves few others.
+/// Assigns the endpoints of one pool and data centre to its shards. The shards get equal shares of the asks, so their sizes must
+/// be equal as well. Uses rendezvous hashing (Thaler and Ravishankar, 1998) with bounded loads (Mirrokni, Thorup and
+/// Zadimoghaddam, 2018): an endpoint goes to the shard with the highest hash that is not full. Few endpoints change their shard
+/// when one is added or removed.
 std::vector<std::vector<const Endpoint *>> assignToShards(const std::vector<const Endpoint *> &endpoints, std::size_t shards)
 {
     const std::size_t most = (endpoints.size() + shards - 1) / shards;
@@ -53,7 +56,7 @@
     std::vector<std::pair<std::uint64_t, const Endpoint *>> hashed;
     std::ranges::transform(endpoints, std::back_inserter(hashed),
                            [](const Endpoint *endpoint) { return std::pair(Base::hash64(endpoint->name), endpoint); });
-    // The order decides who finds a shard full; it must be the same on all hosts.
+    // The order decides which endpoints find a shard full, so it must be the same on all hosts.
     std::ranges::sort(hashed, {}, [](const auto &entry) { return entry.first; });
     for (const auto &[hash, endpoint] : hashed) {
         auto open = std::views::iota(std::size_t {0}, shards)
@@ -64,8 +67,8 @@
     return divided;
 }
 
-/// Endpoints of one shard, by what its dispatcher can bear: a decision looks at each of them, and decisions come in proportion
-/// to them too, so that a dispatcher's work grows with their square.
+/// Returns the largest shard that a host with this processor can dispatch. A decision evaluates each endpoint, and the rate of
+/// decisions is proportional to the number of endpoints, so the load grows with the square of the shard size.
 std::size_t maxEndpointsForCpu(std::uint32_t milliCores)
 {
     constexpr double perCore = 1000.0;
@@ -73,10 +76,11 @@
     return static_cast<std::size_t>(std::sqrt(time / (cpuSecondsPerDecisionPerEndpoint * decisionsPerSecondPerEndpoint)));
 }
 
-/// Few large shards know more than many small ones: of the prompts that endpoints keep, of who has room and of who is gone, also
-/// of an endpoint that moves when another comes or goes; and a home hears from each of them more often. As large as the hosts
-/// with the most processor bear, since these dispatch. Worth of a day of high load at the large deployment, 320 endpoints, single
-/// plays without processor time, which differ by 0.03: ten shards 0.49 and 0.53, two 0.57, one 0.55 and 0.60.
+/// Returns the intended shard size: the configured one, or the largest that the hosts with the most processor time can dispatch,
+/// since those become dispatchers. Few large shards are better than many small ones. Their dispatchers have more information
+/// about cached prompts, free slots and lost endpoints, and lose less of it when endpoints change their shard; and a home gets
+/// messages from each of them more often. Worth of a day of high load of the large deployment with 320 endpoints (single runs
+/// that do not count processor time, and differ by 0.03): 0.49 and 0.53 with ten shards, 0.57 with two, 0.55 and 0.60 with one.
 std::size_t endpointsPerShard(const Configuration::Policies &policies, const std::vector<Member> &members)
 {
     if (policies.shardSize > 0) {
@@ -86,9 +90,11 @@
     return most == members.end() ? minEndpointsPerShard : std::max(minEndpointsPerShard, maxEndpointsForCpu(most->milliCores));
 }
 
-/// A number that changes moves half of the endpoints or more, and with them goes what their dispatchers know. Endpoints that
-/// ended are listed for some seconds beside those that take their places, half as many again when a third of a pool crashes: by
-/// powers of two, the number changes where the endpoints double, and not with each wave.
+/// Returns the number of shards for a number of endpoints. If the size is computed from the hosts' processors, the result is a
+/// power of two, so it changes only when the number of endpoints about doubles. Each change moves half of the endpoints or more
+/// to other dispatchers, which lack the state of these endpoints. Without the rounding this would occur when many endpoints
+/// crash: the platform still lists them for some seconds beside their replacements, half as many again if a third of a pool
+/// crashes.
 std::size_t shardsFor(std::size_t endpoints, std::size_t shardSize, bool sizedByCpu)
 {
     if (!sizedByCpu) {
@@ -98,7 +104,7 @@
     return std::size_t {1} << static_cast<unsigned int>(std::max(0L, std::lround(std::log2(std::max(1.0, ratio)))));
 }
 
-/// A member, and the hash of its name.
+/// A member and the hash of its name.
 struct HashedMember
 {
     std::uint64_t hash = 0;
@@ -111,7 +117,7 @@
         const Member &member = *hashed.member;
         const bool stays = member.state != MemberState::Leaving;
         const bool near = member.dataCentre == shard.dataCentre;
-        // Its work grows with the fleet: a small host among larger ones would run out of processor time first.
+        // The load of a dispatcher grows with the fleet, so a small host among larger ones would run out of processor time first.
         return std::tuple(stays, near, member.milliCores, Base::mixed(hashed.hash, shard.id));
     };
     const auto best = std::ranges::max_element(members, {}, preference);
--- a/Source/Dispatch/shardmap.h
+++ b/Source/Dispatch/shardmap.h
@@ -2,8 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Which endpoints form a shard, and which host dispatches it. Computed alike on every host from the configuration and the
-/// membership; nothing is agreed.
+/// Assignment of endpoints to shards and of shards to dispatchers. Every host computes it from the configuration and the
+/// membership without an agreement protocol; hosts with the same input get the same result.
 
 #pragma once
 
@@ -16,34 +16,36 @@
 
 namespace Yokepond::Dispatch {
 
+/// A shard: some endpoints of one pool in one data centre, and the host that dispatches them.
 struct ShardInfo
 {
     std::uint32_t id = 0;
     std::uint32_t pool = 0;
     std::string dataCentre;
-    std::uint32_t index = 0; ///< among the shards of this pool and data centre
+    std::uint32_t index = 0; ///< index among the shards of this pool and data centre
     std::vector<std::uint32_t> endpoints;
-    std::string dispatcher; ///< name of a member; empty if there is none
+    std::string dispatcher; ///< name of the host that dispatches it; empty if there are no members
 };
 
+/// All shards of the fleet.
 class ShardMap
 {
 public:
     ShardMap() = default;
 
-    /// @p members are those not dead; leaving ones get no shard unless no other is left.
+    /// @p members are the members that are not dead. Leaving members get no shards unless there are no others.
     ShardMap(const Configuration::Catalogue &catalogue, const std::vector<Peer::Member> &members);
 
     const std::vector<ShardInfo> &shards() const;
 
-    /// The shard, or null.
+    /// Returns the shard with this id, or null.
     const ShardInfo *find(std::uint32_t id) const;
 
-    /// The shards of a pool.
+    /// Returns the shards of a pool.
     std::vector<const ShardInfo *> ofPool(std::uint32_t pool) const;
 
 private:
-    std::vector<ShardInfo> m_shards; ///< by id
+    std::vector<ShardInfo> m_shards; ///< sorted by id
 };
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/soonestfirsttoken.cpp
+++ b/Source/Dispatch/soonestfirsttoken.cpp
@@ -15,51 +15,53 @@
 
 namespace {
 
-/// Part of an engine's time that prompts may take up: the tokens of all that runs there wait meanwhile.
+/// Share of an engine's time that is available for prefill. The remaining time goes to the tokens of its active runs.
 constexpr double prefillShare = 0.75;
-/// Part of an engine's memory that runs may take up; the rest keeps prompts for those to come. The most urgent tier finds
-/// room where the others do not.
+/// Share of an engine's KV cache that active runs may use. The remaining part caches prompts for later runs. The most urgent tier
+/// may use a larger share.
 constexpr double runningMemoryShare = 0.55;
 constexpr double runningMemoryShareOfMostUrgent = 0.75;
-/// Part of its target that a run may wait at the engine.
+/// Share of its first-token target that a run may wait in an engine's backlog.
 constexpr double backlogShare = 0.4;
-/// The same where most of the prompt is kept: elsewhere it would have to be read.
+/// The same for an engine that caches most of the prompt: any other engine would need a full prefill.
 constexpr double backlogShareIfCached = 0.6;
-/// Part of the target of the tiers above that all reading at an engine may take, this run's included.
+/// Share of the tightest first-token target of the tiers above that the whole backlog of an engine may take, including this run.
 constexpr double shareOfTightestAbove = 0.6;
-/// An engine with less than this to read counts as free: a prompt too long for the bounds above is sent there.
+/// An engine with a shorter backlog counts as idle: it also gets prompts that are too long for the limits above.
 constexpr Base::Duration freeBacklog = std::chrono::milliseconds(20);
-/// Reading a prompt again that another engine keeps costs this much more than the time it takes here: the part it displaces
-/// will be read again too.
+/// Cost factor on the prefill of a prompt outside its preferred engine. Such a prompt displaces other cached prompts, which later
+/// need a second prefill too.
 constexpr double repeatedPrefillFactor = 2.5;
-/// What a full window adds to the cost of an engine: each token comes slower the more run there.
+/// Cost of an engine whose window is full. Each token takes longer with more active runs.
 constexpr double fullWindowMs = 300.0;
-/// A run that a pause makes late costs as much as so much reading, so that long reads gather where few tight streams run and
-/// tight streams go where little is read. Where 200 ms are allowed between events, and three pieces of a prompt take about as
-/// long, it brings that class from 0.70 to 0.78 in time (trials of twelve days); a thousand gains no more there.
+/// Cost of each run that a prefill pause is expected to make late, in milliseconds of prefill. It directs long prefills to
+/// engines with few streams that allow only short pauses, and such streams to engines with little prefill. For a class that
+/// allows 200 ms between events, where three chunks of a prompt take about that long, it raises the share of runs on time from
+/// 0.70 to 0.78 (trials of twelve days). A cost of 1000 gives no further gain there.
 constexpr double lateRunMs = 300.0;
-/// Each run at an engine waits for its tokens while another's prompt is read.
+/// Share of the prefill time that is added to the cost for each active run, since these runs wait during a prefill.
 constexpr double interferenceFactor = 0.1;
-/// Of the latest observation, when the reading speed is learned. A run that was faster than expected shows what an engine can
-/// do; one that was slower may have met work that the model does not know of.
+/// Weight of the latest observation in the moving average of the prefill speed. A run that was faster than expected shows what
+/// the engine can do; one that was slower may have been delayed by work that the model does not know.
 constexpr double latestWeightIfFaster = 0.3;
 constexpr double latestWeightIfSlower = 0.02;
-/// The pool's speed, for engines that have shown none yet, follows that of the engine that ended a run.
+/// Weight of one engine's speed in the moving average for the pool, which is used for engines without an observation.
 constexpr double poolWeightOfOneEngine = 0.1;
-/// Of the time after which a prompt is expected to have been read: until it is over, others are not sent to take it.
+/// Factor on the expected prefill time, after which other engines may fetch the prompt.
 constexpr double prefillMargin = 1.5;
-/// Before the first byte of a move: the way to the engine that keeps the prompt and back, and its link's set-up.
+/// Time before the first byte of a transfer: a round trip to the keeper and the connection setup.
 constexpr Base::Duration transferSetupTime = std::chrono::milliseconds(10);
-/// A move must save at least this many times its own time of reading.
+/// The prefill time that a transfer saves must be longer than the transfer by this factor.
 constexpr double minTransferGain = 2.0;
-/// What a move costs beside its time: this part of the reading it saves, for the memory that is taken twice.
+/// Additional cost of a transfer, as a share of the prefill time that it saves, because the prompt then takes up memory twice.
 constexpr double transferCostFactor = 0.6;
+/// The prefill speed is learned only from runs with at least this many tokens to prefill.
 constexpr std::uint32_t minTokensToLearn = 4000;
-/// Of the belief that was logged last.
+/// An estimate is logged again when it has changed by this share of the value logged last.
 constexpr double minLoggedChange = 0.2;
 constexpr double minTokensPerMs = 4.0;
 constexpr double maxTokensPerMs = 400.0;
-/// Between an ask and the end of its reading, beside the reading itself: the way to the engine, and the first token.
+/// Time from the grant to the first token apart from the prefill: the network delay to the engine and the first decoding step.
 constexpr Base::Duration overhead = std::chrono::milliseconds(30);
 
 PromptChain chainOf(const QueuedAsk &ask)
@@ -77,8 +79,8 @@
     return std::uint64_t {ask.ask.promptTokens} + ask.ask.expectedTokens;
 }
 
-/// Where a prompt that no engine keeps is best read: the same on every host by rendezvous hashing, so that a dispatcher that
-/// takes over sends prompts where its predecessor did.
+/// Returns the endpoint that is preferred for a prompt that no engine caches. Rendezvous hashing gives the same endpoint on every
+/// host, so a new dispatcher sends prompts to the same engines as its predecessor.
 std::uint32_t preferredEndpoint(const QueuedAsk &ask, std::span<const Candidate> candidates)
 {
     const std::uint64_t shared = sharedPrefix(ask.ask.prefix);
@@ -91,7 +93,7 @@
     return std::chrono::duration_cast<Base::Duration>(whole * share);
 }
 
-/// How much an engine may still have to read for @p ask, which takes @p reading there, to be sent to it.
+/// Returns the longest backlog that an engine may have to be given @p ask, whose own prefill takes @p prefillTime there.
 Base::Duration longestBacklog(const QueuedAsk &ask, bool mostlyCached, Base::Duration prefillTime)
 {
     Base::Duration longest = scaled(ask.parameters.firstToken, mostlyCached ? backlogShareIfCached : backlogShare);
@@ -106,7 +108,7 @@
     return longestBacklog(ask, cachedTokens * 2 > ask.ask.promptTokens, scaled(ownTime, 1.0 / prefillShare));
 }
 
-/// The most that is allowed any prompt of @p ask's class.
+/// Returns the longest backlog that is allowed for any prompt of the ask's class.
 Base::Duration longestBacklogOfClass(const QueuedAsk &ask)
 {
     return longestBacklog(ask, true, Base::Duration::zero());
@@ -120,7 +122,8 @@
     return engine == m_engines.end() ? nullptr : &engine->second;
 }
 
-/// Tokens of @p ask's prompt that @p engine keeps; no more than the prompt has, whatever its parts claim.
+/// Returns how many tokens of the ask's prompt are in the cache of @p engine. The result is at most the length of the prompt,
+/// even if the part lengths in the ask are wrong.
 std::uint32_t SoonestFirstToken::cachedTokensAt(const Engine &engine, const QueuedAsk &ask)
 {
     return std::min(ask.ask.promptTokens, engine.cache.cachedTokens(chainOf(ask)));
@@ -137,7 +140,7 @@
     return known ? fromMs(tokens / engine->tokensPerMs) : timeToPrefill(tokens);
 }
 
-/// Time until all that is read before a new prompt of @p rank has been read.
+/// Returns the prefill time that comes before a new prompt of @p rank.
 Base::Duration SoonestFirstToken::backlogOf(const Engine &engine, int rank, Base::Instant now)
 {
     Base::Duration before {};
@@ -153,8 +156,8 @@
     return backlogOf(engine, std::numeric_limits<int>::max(), now);
 }
 
-/// Streams that are expected to miss their pauses if @p engine also reads @p ask for @p reading: those that run there, and the
-/// ask's own.
+/// Returns the expected number of streams with pauses longer than allowed if @p engine also prefills @p ask for @p prefillTime.
+/// It counts the streams that run there and that of the ask itself.
 double SoonestFirstToken::expectedLateRuns(const QueuedAsk &ask, const Engine *engine, Base::Duration prefillTime,
                                            Base::Instant now) const
 {
@@ -172,7 +175,7 @@
     return engine == nullptr ? Base::Duration::zero() : backlogOf(*engine, rank, now);
 }
 
-/// Takes off what has been read by @p now.
+/// Subtracts the prefill that the engine has done by @p now.
 void SoonestFirstToken::advance(Engine &engine, Base::Instant now)
 {
     Base::Duration passed = now - engine.updatedAt;
@@ -184,7 +187,7 @@
     }
 }
 
-/// Half of a prompt, since most of one that waits is kept somewhere or soon will be.
+/// Counts half of the prompt, since most of a queued prompt is cached by some engine or soon will be.
 Base::Duration SoonestFirstToken::prefillTime(const QueuedAsk &ask) const
 {
     return timeToPrefill(ask.ask.promptTokens) / 2;
@@ -238,22 +241,23 @@
     cost.prefillTime = scaled(plan.prefillTime, 1.0 / prefillShare);
     cost.cachedTokens = plan.cachedTokens;
     cost.kvTokens = kvTokensFor(ask, plan);
-    // What reading costs the pool is the same everywhere: a slow engine shows by its backlog, its pauses and late first tokens.
+    // The prefill counts at the speed of the pool, since it costs the pool the same everywhere. A slow engine still costs more
+    // through its backlog, its pauses and late first tokens.
     const double own = Base::milliseconds(plan.transferTime + timeToPrefill(ask.ask.promptTokens - plan.cachedTokens));
-    const double readFactor = preferred || plan.keeper != 0 ? 1.0 : repeatedPrefillFactor;
-    cost.baseMs = Base::milliseconds(cost.backlog) + own * readFactor + loadOf(candidate) * fullWindowMs
+    const double prefillFactor = preferred || plan.keeper != 0 ? 1.0 : repeatedPrefillFactor;
+    cost.baseMs = Base::milliseconds(cost.backlog) + own * prefillFactor + loadOf(candidate) * fullWindowMs
         + own * candidate.running * interferenceFactor
         + Base::milliseconds(timeToPrefill(plan.transferredTokens)) * transferCostFactor;
     return cost;
 }
 
-/// Parts that are kept are there once, whatever number of runs use them; those taken from another engine are new there.
+/// Cached parts are shared by all runs that use them, so they need no further memory. Transferred parts do.
 std::uint64_t SoonestFirstToken::kvTokensFor(const QueuedAsk &ask, const PrefillPlan &plan)
 {
     return kvTokensOf(ask) - plan.cachedTokens + plan.transferredTokens;
 }
 
-/// @p memory: tokens that the run would take up.
+/// Returns whether a run that needs @p kvTokens of the KV cache fits into the share for active runs.
 bool SoonestFirstToken::fits(const QueuedAsk &ask, const Candidate &candidate, std::uint64_t kvTokens) const
 {
     const Engine *engine = engineOf(candidate.endpoint);
@@ -271,13 +275,13 @@
 {
     std::optional<std::uint32_t> best;
     double lowestCost = 0;
-    // What is late already gains nothing by waiting here.
+    // Further waiting does not help an ask that has already missed its target.
     const bool mayWait = now < ask.target();
     const Base::Duration longest = longestBacklogOfClass(ask);
     std::optional<std::uint32_t> preferred;
     std::optional<Keeper> keeper;
     for (const Candidate &candidate : candidates) {
-        // What is kept there need not be looked for where even a prompt that is kept whole would wait.
+        // With this backlog even a fully cached prompt would have to wait, so the cache need not be checked.
         if (mayWait && backlogAt(candidate.endpoint, ask.parameters.rank, now) > longest) {
             continue;
         }
@@ -316,7 +320,7 @@
     if (least.time == Base::Duration::max()) {
         return least.time;
     }
-    // A prompt that is taken from another engine comes sooner than it would be read at the pool's speed.
+    // A transfer is used only if it takes less time than a prefill at the pool's speed.
     const std::uint32_t tokens = ask.ask.promptTokens;
     return least.time + std::max(timeToPrefill(tokens), timeToPrefill(engineOf(least.endpoint), tokens)) + overhead;
 }
@@ -370,7 +374,7 @@
     engine.runningTokens += run.kvTokens;
     engine.cache.insert(chainOf(ask), now + scaled(backlog + plan.transferTime + run.prefillTime, prefillMargin));
     if (candidate.memoryTokens > 0) {
-        // Runs and kept prompts share the memory; what runs does not give way.
+        // Active runs and cached prompts share the memory, and active runs are not evicted.
         engine.cache.shrink(candidate.memoryTokens - std::min(candidate.memoryTokens, engine.runningTokens));
     }
     return run;
@@ -388,12 +392,13 @@
     if (seen.first > Base::Duration::zero() && run.reliabilityEpoch == engine->second.reliabilityEpoch) {
         engine->second.lendsPrompts = true;
     }
-    // What an ended run left unread will not be read: there is no more to read than the prompts of those under way.
+    // An engine drops the remaining prefill of a run that has ended, so the pending prefill cannot exceed that of the active
+    // runs.
     Base::Duration &activePrefill = engine->second.activePrefill[run.rank];
     activePrefill = std::max(Base::Duration::zero(), activePrefill - run.prefillTime);
     Base::Duration &pendingPrefill = engine->second.pendingPrefill[run.rank];
     pendingPrefill = std::min(pendingPrefill, activePrefill);
-    // Behind other prompts the time tells of the model's errors rather than of the engine's speed.
+    // If the run waited for other prompts, its time shows errors of the model rather than the speed of the engine.
     if (run.wasOnlyPrefill && seen.first > Base::Duration::zero() && run.prefillTokens >= minTokensToLearn) {
         updatePrefillSpeed(engine->second, run, seen.first);
     }
@@ -417,7 +422,7 @@
 {
     const Base::Duration prefillTime = std::max(firstToken - overhead, firstToken / 2);
     const double ratio = std::clamp(Base::milliseconds(run.expectedFirstToken) / Base::milliseconds(prefillTime), 0.5, 2.0);
-    // What was expected was expected at the speed believed when the run was placed, which is about the present one.
+    // The expected time was computed with the speed estimated when the run was placed, which is close to the present estimate.
     const auto learned = [&](double estimated) {
         const double change = estimated * ratio - estimated;
         const double share = change > 0 ? latestWeightIfFaster : latestWeightIfSlower;
@@ -436,8 +441,9 @@
     }
 }
 
-/// An engine that fails some runs still keeps its prompts. One that starts anew has a new name where the platform says so, and
-/// elsewhere shows by its next runs' first-token times what it lost.
+/// Stops transfers from the engine, but keeps its cache estimate: an engine that fails some runs still has its prompts. An engine
+/// that restarts gets a new name if the platform reports that; otherwise the first-token times of its next runs show what it
+/// lost.
 void SoonestFirstToken::markUnreliable(std::uint32_t endpoint)
 {
     if (const auto engine = m_engines.find(endpoint); engine != m_engines.end()) {
--- a/Source/Dispatch/soonestfirsttoken.h
+++ b/Source/Dispatch/soonestfirsttoken.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Placement by a model of each engine.
+/// A placement policy that estimates the first-token time at each engine.
 
 #pragma once
 
@@ -18,9 +18,10 @@
 
 namespace Yokepond::Dispatch {
 
-/// The one where the first token is expected soonest, by a model of each engine: the prompts it keeps, the prompts it still
-/// has to read, and the memory of its runs. A run waits here rather than behind other prompts at an engine: the less urgent,
-/// the earlier.
+/// Selects the endpoint where the first token costs least. The cost is mainly the expected time to the first token; it also
+/// counts the delay that the prefill causes for other runs. The estimate comes from a model of each engine: the prompts in its KV
+/// cache, its prefill backlog, and the memory of its runs. An ask stays in the dispatcher's queue when the backlog of all engines
+/// is too long for it; the limit is lower for less urgent tiers. The name is that of the setting's value `soonest-first-token`.
 class SoonestFirstToken
 {
 public:
@@ -43,44 +44,47 @@
         }
 
         PromptCache cache;
-        bool lendsPrompts = true; ///< others may take prompts that it keeps
-        std::uint32_t reliabilityEpoch = 0; ///< grows each time that it is lost; runs placed since then can win it back
-        Base::Instant transfersUntil {}; ///< end of the moves that others were told to make
-        std::map<int, Base::Duration> pendingPrefill; ///< by rank: time to read what has been sent; the most urgent is read first
-        std::map<int, Base::Duration> activePrefill; ///< by rank: the reading times of all runs that have not ended
-        Base::Instant updatedAt {}; ///< of the times above
-        std::uint64_t runningTokens = 0;
+        bool lendsPrompts = true; ///< other engines may fetch prompts from it
+        std::uint32_t reliabilityEpoch
+            = 0; ///< grows each time that the engine is marked unreliable; only runs placed later can make it reliable again
+        Base::Instant transfersUntil {}; ///< expected end of the transfers from this engine
+        std::map<int, Base::Duration>
+            pendingPrefill; ///< by rank: prefill time not yet done; the engine prefills the most urgent rank first
+        std::map<int, Base::Duration> activePrefill; ///< by rank: prefill times of all runs that have not ended
+        Base::Instant updatedAt {}; ///< time point for which pendingPrefill is valid
+        std::uint64_t runningTokens = 0; ///< KV-cache tokens of its active runs
         PrefillPauses pauses;
-        double tokensPerMs = 0; ///< read; learned, 0 before the first run that tells
+        double tokensPerMs = 0; ///< learned prefill speed, 0 before the first usable observation
     };
 
-    /// Who keeps the longest beginning of a prompt that others can take now.
+    /// The engine that has the longest prefix of a prompt that other engines can fetch now.
     struct Keeper
     {
-        std::uint32_t endpoint = 0; ///< 0: none
-        std::uint32_t tokens = 0;
-        Base::Duration linkBusy {};
+        std::uint32_t endpoint = 0; ///< 0 for none
+        std::uint32_t tokens = 0; ///< length of the prefix
+        Base::Duration linkBusy {}; ///< until its present transfers end
     };
 
-    /// What an engine would have to do before the first token.
+    /// The work that an engine has to do before the first token of a run.
     struct PrefillPlan
     {
-        std::uint32_t cachedTokens = 0; ///< tokens of the prompt, once those taken from the keeper have come
-        std::uint32_t keeper = 0; ///< endpoint to take them from, 0 for none
-        std::uint32_t transferredTokens = 0; ///< tokens
+        std::uint32_t cachedTokens = 0; ///< tokens of the prompt in its cache after the transfer from the keeper
+        std::uint32_t keeper = 0; ///< endpoint to fetch a prefix from, 0 for none
+        std::uint32_t transferredTokens = 0; ///< tokens fetched from the keeper
         Base::Duration transferTime {};
         Base::Duration prefillTime {};
     };
 
-    /// What the engine costs before the streams that reading makes late are weighed, which takes longest to work out.
+    /// The cost of placing a run at an engine, without the streams that its prefill makes late. Those are counted last, because
+    /// estimating them takes the most time.
     struct Cost
     {
-        Base::Duration backlog {};
-        Base::Duration ownTime {};
-        std::uint32_t cachedTokens = 0; ///< tokens of the prompt
-        std::uint64_t kvTokens = 0; ///< tokens that the run would take up
+        Base::Duration backlog {}; ///< prefill time before the run's own
+        Base::Duration ownTime {}; ///< transfer and prefill of the run's prompt
+        std::uint32_t cachedTokens = 0; ///< tokens of the prompt that need no prefill
+        std::uint64_t kvTokens = 0; ///< KV-cache tokens that the run needs
         Base::Duration prefillTime {};
-        double baseMs = 0; ///< apart from late streams
+        double baseMs = 0; ///< cost in milliseconds, without late streams
     };
 
     const Engine *engineOf(std::uint32_t endpoint) const;
@@ -92,11 +96,11 @@
                                     Base::Instant now) const;
     static std::uint64_t kvTokensFor(const QueuedAsk &ask, const PrefillPlan &plan);
     bool fits(const QueuedAsk &ask, const Candidate &candidate, std::uint64_t kvTokens) const;
-    /// By an engine of which nothing is known apart from the others.
+    /// Returns the prefill time at the average speed of the pool.
     Base::Duration timeToPrefill(std::uint32_t tokens) const;
     Base::Duration timeToPrefill(const Engine *engine, std::uint32_t tokens) const;
     static Base::Duration backlogOf(const Engine &engine, int rank, Base::Instant now);
-    /// Time until all that was sent has been read.
+    /// Returns the time until the engine has prefilled all prompts sent to it.
     static Base::Duration backlogOf(const Engine &engine, Base::Instant now);
     double expectedLateRuns(const QueuedAsk &ask, const Engine *engine, Base::Duration prefillTime, Base::Instant now) const;
     Base::Duration backlogAt(std::uint32_t endpoint, int rank, Base::Instant now) const;
@@ -107,8 +111,8 @@
 
     std::map<std::uint32_t, Engine> m_engines;
     std::shared_ptr<LongestPause> m_longestPause = std::make_shared<LongestPause>();
-    /// Read by an engine that has not shown its own speed; learned from all, the start is that of a large model on one
-    /// accelerator.
+    /// Prefill speed of engines whose own speed is not known yet, learned from all engines of the pool. The initial value is that
+    /// of a large model on one accelerator.
     double m_tokensPerMs = 30.0;
     Base::Duration m_loggedLongestPause {};
     double m_loggedTokensPerMs = m_tokensPerMs;
--- a/Source/Dispatch/waitestimates.cpp
+++ b/Source/Dispatch/waitestimates.cpp
@@ -36,11 +36,12 @@
     return {missesDeadline ? std::max(late, begins - ask.target()) : late, missesDeadline, cooldown};
 }
 
-/// By how much the first token must be expected to miss its target even if the ask were served next; zero if it need not.
+/// Returns the time by which the first token is expected to miss its target; zero if it can be on time.
 Duration WaitEstimates::latenessOf(const QueuedAsk &ask, const QueueAhead &ahead)
 {
     const Duration cooldown = remainingCooldown(ask.home.incarnation);
-    // A later attempt has cost a run already, unless all that could run it turn requests away.
+    // Refusing a later attempt would waste the run of the earlier one, unless the endpoints rejected that run because of
+    // cooldowns.
     const bool hasCostARun = ask.key.id.attempt > 1 && cooldown == Duration::zero();
     if (!m_refuseLate || hasCostARun) {
         return Duration::zero();
@@ -49,7 +50,7 @@
     const bool modelled
         = std::visit([&](const auto &placement) { return placement.prefillTime(ask); }, m_placement) > Duration::zero();
     if (!modelled) {
-        // Where no prompts are read only what the endpoints say of themselves tells anything.
+        // Without a model of engines only the rate limits and cooldowns that the endpoints advertise give an estimate.
         return closed > Duration::zero() ? std::max(Duration::zero(), m_now + closed - ask.target()) : Duration::zero();
     }
     if (m_usable.empty()) {
--- a/Source/Dispatch/waitestimates.h
+++ b/Source/Dispatch/waitestimates.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Whether asks can still be on time, as far as it can be told of one moment.
+/// Estimates of the time that asks have to wait, and of whether they can still be on time.
 
 #pragma once
 
@@ -19,28 +19,30 @@
 
 using Placement = std::variant<RoundRobin, LeastLoaded, PrefixAffinity, SoonestFirstToken>;
 
-/// What is to be served before an ask.
+/// The asks that are to be served before an ask.
 struct QueueAhead
 {
-    Base::Duration prefillTime {};
+    Base::Duration prefillTime {}; ///< sum over these asks
     std::size_t asks = 0;
 };
 
+/// The estimate for one ask.
 struct WaitEstimate
 {
-    Base::Duration lateness {}; ///< by which the first token must be expected to miss its target; zero if it need not
-    bool missesDeadline = false; ///< it cannot begin before its deadline
-    Base::Duration cooldown {}; ///< until an endpoint takes requests of its home
+    Base::Duration lateness {}; ///< expected time by which the first token misses its target; zero if it can be on time
+    bool missesDeadline = false; ///< the run cannot start before the deadline
+    Base::Duration cooldown {}; ///< time until an endpoint accepts requests of the home
 };
 
-/// Of one shard at one moment; what several asks have in common is found once, when it is first needed.
+/// Computes wait estimates for the asks of one shard at one time point. Values that several asks need are computed once, when
+/// they are first needed, so an object must not be used after the state of the shard has changed.
 class WaitEstimates
 {
 public:
-    /// @p refuseLate: whether asks are to be judged by their targets, and not by their deadlines alone.
+    /// With @p refuseLate the estimates consider the first-token targets; otherwise only the deadlines.
     WaitEstimates(Base::Instant now, const EndpointStates &endpoints, const Placement &placement, bool refuseLate);
 
-    /// Whether what is ahead of an ask tells anything about it.
+    /// Returns whether the estimates depend on the asks ahead in the queue.
     bool needQueueAhead();
 
     WaitEstimate forAsk(const QueuedAsk &ask, const QueueAhead &ahead);
@@ -48,9 +50,9 @@
 private:
     Base::Duration latenessOf(const QueuedAsk &ask, const QueueAhead &ahead);
     const std::optional<PooledRate> &rate();
-    /// How long the rates of the endpoints keep an ask behind @p asks; zero if some endpoint limits none.
+    /// Returns how long the rate limits of the endpoints delay an ask behind @p asks others; zero if an endpoint has no limit.
     Base::Duration rateLimitWait(std::size_t asks);
-    /// How long no endpoint takes requests of @p home, as they have asked it.
+    /// Returns the time until an endpoint accepts requests of @p home.
     Base::Duration remainingCooldown(std::uint64_t home);
 
     Base::Instant m_now;
@@ -58,7 +60,7 @@
     const Placement &m_placement;
     bool m_refuseLate;
     std::vector<Candidate> m_usable;
-    std::optional<bool> m_allHaveCooldowns; ///< for some home
+    std::optional<bool> m_allHaveCooldowns; ///< for at least one home
     std::map<std::uint64_t, Base::Duration> m_cooldowns; ///< by home
     std::map<int, LeastBacklog> m_leastBacklogs; ///< by rank
     std::optional<std::optional<PooledRate>> m_rate;
--- a/Source/Dispatch/window.cpp
+++ b/Source/Dispatch/window.cpp
@@ -12,8 +12,8 @@
 constexpr double decreaseFactor = 0.85;
 constexpr double maxSizeFactor = 1.5;
 constexpr double gapMargin = 1.0;
-/// Part of the first-token target that may pass at the endpoint. The rest is for this queue, which knows more about the
-/// requests than the endpoint's own does.
+/// Share of the first-token target that a run may spend at the endpoint. The remaining time is for the dispatcher's queue, which
+/// has more information about the requests than the endpoint's own queue.
 constexpr double endpointShareOfFirstToken = 0.35;
 constexpr Base::Duration decreasePeriod = std::chrono::seconds(1);
 
@@ -48,7 +48,7 @@
 void AdaptiveWindow::observe(const Observation &observation, Base::Instant now)
 {
     if (missesTargets(observation)) {
-        // Runs that began before the last decrease say nothing about the present window.
+        // Runs that started before the last decrease say nothing about the present window.
         if (now - m_lastDecrease >= decreasePeriod) {
             m_lastDecrease = now;
             m_size = std::max(1.0, m_size * decreaseFactor);
--- a/Source/Dispatch/window.h
+++ b/Source/Dispatch/window.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// How many runs an endpoint is given at once.
+/// Window policies, which set the concurrency limit of an endpoint.
 
 #pragma once
 
@@ -13,16 +13,16 @@
 
 namespace Yokepond::Dispatch {
 
-/// What a run's home saw, against the targets of its class.
+/// What the home of a run observed, with the targets to compare it to.
 struct Observation
 {
-    Base::Duration firstToken {};
-    Base::Duration gap {};
-    Base::Duration firstTokenTarget {}; ///< the tightest of the pool's classes
-    Base::Duration gapTarget {};
+    Base::Duration firstToken {}; ///< time to the first token
+    Base::Duration gap {}; ///< mean time between tokens
+    Base::Duration firstTokenTarget {}; ///< shortest target of the pool's classes
+    Base::Duration gapTarget {}; ///< target of the run's class
     bool failed = false;
-    bool windowWasFull = false; ///< when the run was granted or ended
-    bool errorResponse = false; ///< it answered, but with an error: it lives, and other runs may do well
+    bool windowWasFull = false; ///< the window was full after the run was granted
+    bool errorResponse = false; ///< the endpoint responded with an error, so it works and other runs may succeed
 };
 
 template<typename T>
@@ -33,7 +33,7 @@
     } -> std::same_as<std::uint32_t>;
 };
 
-/// Baseline: as many as the configuration says.
+/// Baseline policy with the number of slots from the configuration.
 class FixedWindow
 {
 public:
@@ -46,8 +46,9 @@
     std::uint32_t m_slots;
 };
 
-/// Additive increase while targets are met with the window full, multiplicative decrease once when they are not
-/// (Chiu and Jain, 1989). Stays between one and a multiple of the configured slots.
+/// Additive increase, multiplicative decrease (Chiu and Jain, 1989). The window grows while it is full and runs meet their
+/// targets. It shrinks when they miss them, at most once in a fixed period. It stays between one and a multiple of the configured
+/// slots.
 class AdaptiveWindow
 {
 public:
