--- a/Source/Dispatch/cooldowns.cpp
+++ b/Source/Dispatch/cooldowns.cpp
@@ -11,8 +11,8 @@
 
 using Base::Instant;
 
-/// An endpoint counts as full after this many rejections in a row. An endpoint that rejects two of five requests still accepts
-/// three fifths of the requests that other homes send it meanwhile, so it must not count as full.
+/// An endpoint counts as full after this many rejections in a row. An endpoint that rejects two of five runs still accepts the
+/// other three, which other homes send it during the cooldowns. With a limit of two it would often count as full.
 constexpr std::uint32_t rejectionsUntilFull = 3;
 /// Cooldown of a full endpoint that advertises none; it doubles with each further rejection.
 constexpr Base::Duration initialDefaultCooldown = std::chrono::milliseconds(250);
@@ -37,12 +37,12 @@
 void Cooldowns::recordRejection(Instant now, std::uint64_t home)
 {
     ++m_consecutiveRejections;
-    if (!coversAllHomes()) {
+    if (!isFull()) {
         return;
     }
     const auto entry = m_endByHome.find(home);
-    const bool isNamed = entry != m_endByHome.end() && entry->second > now;
-    m_endForAll = std::max(m_endForAll, isNamed ? entry->second : now + defaultCooldown(m_consecutiveRejections));
+    const bool isAdvertised = entry != m_endByHome.end() && entry->second > now;
+    m_fullUntil = std::max(m_fullUntil, isAdvertised ? entry->second : now + defaultCooldown(m_consecutiveRejections));
 }
 
 void Cooldowns::recordAcceptance()
@@ -55,18 +55,18 @@
     m_lastGrant = now;
 }
 
-bool Cooldowns::coversAllHomes() const
+bool Cooldowns::isFull() const
 {
     return m_consecutiveRejections >= rejectionsUntilFull;
 }
 
 bool Cooldowns::allowsAnyHome(Instant now) const
 {
-    if (!coversAllHomes()) {
+    if (!isFull()) {
         return true;
     }
     // After the cooldown one run at a time tests whether the endpoint accepts requests again.
-    return now >= m_endForAll && now >= m_lastGrant + maxRejectionDelay;
+    return now >= m_fullUntil && now >= m_lastGrant + maxRejectionDelay;
 }
 
 bool Cooldowns::allows(Instant now, std::uint64_t home) const
@@ -79,12 +79,12 @@
 {
     const auto entry = m_endByHome.find(home);
     const Instant own = entry == m_endByHome.end() ? Instant {} : entry->second;
-    return coversAllHomes() ? std::max(own, m_endForAll) : own;
+    return isFull() ? std::max(own, m_fullUntil) : own;
 }
 
-bool Cooldowns::isActive(Instant now) const
+bool Cooldowns::restrictsAnyHome(Instant now) const
 {
-    return coversAllHomes() || std::ranges::any_of(m_endByHome, [now](const auto &entry) { return now < entry.second; });
+    return isFull() || std::ranges::any_of(m_endByHome, [now](const auto &entry) { return now < entry.second; });
 }
 
 void Cooldowns::removeExpired(Instant now)
--- a/Source/Dispatch/cooldowns.h
+++ b/Source/Dispatch/cooldowns.h
@@ -2,8 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Cooldowns of an endpoint. A cooldown is a time in which the endpoint accepts no requests, which it can advertise to a home
-/// when it rejects a run.
+/// Cooldowns of an endpoint. When an endpoint rejects a run, it can advertise a cooldown: a time in which it accepts no runs of
+/// that run's home.
 
 #pragma once
 
@@ -18,7 +18,8 @@
 inline constexpr Base::Duration maxRejectionDelay = std::chrono::milliseconds(100);
 
 /// The dispatcher's state of the cooldowns of one endpoint. An advertised cooldown applies to one home. An endpoint that rejects
-/// several runs in a row counts as full for all homes. Homes are identified by their incarnations.
+/// several runs in a row, of any homes, counts as full and gets a cooldown for all homes. It stays full until it accepts a run.
+/// Homes are identified by their incarnations.
 class Cooldowns
 {
 public:
@@ -26,11 +27,11 @@
     /// one.
     void startFor(std::uint64_t home, Base::Instant until);
 
-    /// Records that the endpoint rejected a run of @p home. After several rejections in a row it starts a cooldown for all homes,
-    /// with a default duration if the endpoint advertised none.
+    /// Records that the endpoint rejected a run of @p home. If it is now full, starts a cooldown for all homes. It has the
+    /// duration that was advertised to @p home, or else a default one.
     void recordRejection(Base::Instant now, std::uint64_t home);
 
-    /// Records that the endpoint accepted a run, which ends the row of rejections.
+    /// Records that the endpoint accepted a run, so it is not full any more.
     void recordAcceptance();
 
     /// Records that a run of any home has been granted.
@@ -45,18 +46,19 @@
     /// Returns the end of the cooldown for @p home; a time in the past if there is none.
     Base::Instant endFor(std::uint64_t home) const;
 
-    /// Returns whether a home has a cooldown, or the endpoint has accepted no run since its cooldown for all homes.
-    bool isActive(Base::Instant now) const;
+    /// Returns whether any home has a cooldown, or the endpoint is full.
+    bool restrictsAnyHome(Base::Instant now) const;
 
-    /// Returns whether the endpoint rejected several runs in a row, of any homes, and has accepted none since.
-    bool coversAllHomes() const;
+    /// Returns whether the endpoint rejected several runs in a row and has accepted none since. It can still be full after its
+    /// cooldown.
+    bool isFull() const;
 
     /// Removes the cooldowns of single homes that have ended.
     void removeExpired(Base::Instant now);
 
 private:
     std::map<std::uint64_t, Base::Instant> m_endByHome;
-    Base::Instant m_endForAll {};
+    Base::Instant m_fullUntil {};
     Base::Instant m_lastGrant {};
     std::uint32_t m_consecutiveRejections = 0;
 };
--- a/Source/Dispatch/endpointstates.cpp
+++ b/Source/Dispatch/endpointstates.cpp
@@ -62,7 +62,7 @@
 {
     return std::transform_reduce(endpoints.begin(), endpoints.end(), std::size_t {0}, std::plus {}, [](const auto &entry) {
         const EndpointState &state = entry.second;
-        if (!state.isUsable() || state.cooldowns.coversAllHomes()) {
+        if (!state.isUsable() || state.cooldowns.isFull()) {
             return std::size_t {0};
         }
         // An endpoint that limits its rate counts with the runs that it starts in a second, since it cannot fill all its slots.
@@ -120,7 +120,7 @@
 bool allHaveCooldowns(const EndpointStates &endpoints, Base::Instant now)
 {
     return std::ranges::all_of(endpoints | std::views::values, [now](const EndpointState &state) {
-        return !state.acceptsWork() || state.cooldowns.isActive(now);
+        return !state.acceptsWork() || state.cooldowns.restrictsAnyHome(now);
     });
 }
 
@@ -166,7 +166,7 @@
     for (const auto &[number, state] : endpoints) {
         const Rate::KnownRate &rate = state.rateLimiter.known();
         views.push_back({number, state.running, state.windowSize(), state.health.state(), !state.isUsable(),
-                         state.announcedLeaving, state.cooldowns.coversAllHomes(),
+                         state.announcedLeaving, state.cooldowns.isFull(),
                          Base::milliseconds(state.health.firstToken().value_or(Duration::zero())),
                          Base::milliseconds(state.health.interTokenLatency().value_or(Duration::zero())),
                          rate.isLimited() ? std::optional(rate.perSecond) : std::nullopt});
--- a/Source/Dispatch/order.cpp
+++ b/Source/Dispatch/order.cpp
@@ -84,7 +84,7 @@
     return m_asks.size();
 }
 
-std::size_t FifoOrder::aheadOf(int) const
+std::size_t FifoOrder::countInTierOrAbove(int) const
 {
     return m_asks.size();
 }
@@ -278,7 +278,7 @@
     return m_asks.size();
 }
 
-std::size_t TieredOrder::aheadOf(int rank) const
+std::size_t TieredOrder::countInTierOrAbove(int rank) const
 {
     std::size_t count = 0;
     for (const auto &[tierRank, tier] : m_tiers) {
--- a/Source/Dispatch/order.h
+++ b/Source/Dispatch/order.h
@@ -43,7 +43,7 @@
               constant.size()
           } -> std::same_as<std::size_t>;
           {
-              constant.aheadOf(1)
+              constant.countInTierOrAbove(1)
           } -> std::same_as<std::size_t>;
           {
               constant.expired(now)
@@ -69,7 +69,7 @@
     AskKey evictionCandidate(const QueuedAsk &newAsk) const;
     const QueuedAsk *find(AskKey key) const;
     std::size_t size() const;
-    std::size_t aheadOf(int rank) const;
+    std::size_t countInTierOrAbove(int rank) const;
     std::vector<AskKey> expired(Base::Instant now) const;
     std::vector<const QueuedAsk *> all() const;
 
@@ -107,7 +107,7 @@
     std::size_t size() const;
 
     /// Returns the number of asks in the tier of @p rank and the tiers above.
-    std::size_t aheadOf(int rank) const;
+    std::size_t countInTierOrAbove(int rank) const;
 
     /// Returns the asks whose deadline has passed.
     std::vector<AskKey> expired(Base::Instant now) const;
--- a/Source/Dispatch/placement.h
+++ b/Source/Dispatch/placement.h
@@ -44,7 +44,7 @@
     std::uint64_t kvTokens = 0; ///< KV-cache tokens that the run may need
     std::uint32_t prefillTokens = 0; ///< tokens of its prompt that were not cached
     int rank = 0; ///< priority of the prefill at the endpoint
-    Base::Duration prefillTime {}; ///< time of the prefill, slowed by the tokens of other runs
+    Base::Duration effectivePrefillTime {}; ///< time of the prefill, slowed by the tokens of other runs
     Base::Duration expectedFirstToken {}; ///< expected time from the placement to the first token
     bool wasOnlyPrefill = false; ///< the endpoint had no other prompt to prefill
     std::uint32_t keeper = 0; ///< endpoint from which a cached prefix is fetched, 0 for none
@@ -85,11 +85,11 @@
     } -> std::same_as<LeastBacklog>;
     /// Returns an upper bound of expectedFirstToken() for the candidates from which @p least was found, in constant time.
     {
-        constant.maxExpectedFirstToken(ask, least)
+        constant.firstTokenUpperBound(ask, least)
     } -> std::same_as<Base::Duration>;
     /// Returns for how long the prompt of @p ask occupies an endpoint; zero if the policy has no model of engines.
     {
-        constant.prefillTime(ask)
+        constant.expectedPrefillTime(ask)
     } -> std::same_as<Base::Duration>;
     {
         placement.recordPlacement(ask, candidate, now)
@@ -113,11 +113,11 @@
     {
         return {};
     }
-    Base::Duration maxExpectedFirstToken(const QueuedAsk &, const LeastBacklog &) const
+    Base::Duration firstTokenUpperBound(const QueuedAsk &, const LeastBacklog &) const
     {
         return {};
     }
-    Base::Duration prefillTime(const QueuedAsk &) const
+    Base::Duration expectedPrefillTime(const QueuedAsk &) const
     {
         return {};
     }
--- a/Source/Dispatch/prefillpauses.cpp
+++ b/Source/Dispatch/prefillpauses.cpp
@@ -14,18 +14,19 @@
 using Base::Duration;
 using Base::Instant;
 
-/// Uncertainty of an expected pause, relative to the allowed pause. Below 1 - uncertainty of the allowed pause a stream is on
-/// time, above 1 + uncertainty it is late; the probability rises linearly between the two.
+/// Relative uncertainty of an expected pause. A stream is expected to be on time if the pause is shorter than the allowed one by
+/// at least this share, and late if it is longer by at least this share. The probability rises linearly between the two.
 constexpr double uncertainty = 0.2;
 /// The longest prefill within this period is taken as the prediction for an engine. This keeps streams that allow only short
-/// pauses away from an engine between two long prefills. Where responses take 2.6 s, the mean worth was 0.701 with 2 s, 0.707
-/// with 4 s and 0.709 with 8 s (trials of 10, 15 and 15 days). With a longer period than needed, no engine without long prefills
-/// is left.
+/// pauses away from an engine between two long prefills. If the period is too long, each engine has had a long prefill within it.
+/// Where responses take 2.6 s, the served share of the attainable value was 0.701 with 2 s, 0.707 with 4 s and 0.709 with 8 s
+/// (means of 10, 15 and 15 simulated days).
 constexpr Duration recentPeriod = std::chrono::seconds(4);
 /// Bursts are kept for this time, which is longer than any active run has lasted.
 constexpr Duration burstRetention = std::chrono::seconds(30);
-/// Weight of the latest run in the moving averages. The longest pause follows a longer observation fifty times faster than a
-/// shorter one, and so stays near the longest of fifty runs. Most runs overlap only a part of the prefill.
+/// Weight of the latest run in the moving averages. The longest pause rises with a weight fifty times that with which it falls,
+/// and so stays near the longest of fifty runs. This is needed because most runs overlap only a part of a prefill and see shorter
+/// pauses.
 constexpr double latestWeight = 0.1;
 constexpr double latestWeightIfShorter = 0.002;
 
@@ -70,11 +71,11 @@
     return std::clamp((pause - 1.0 + uncertainty) / (2.0 * uncertainty), 0.0, 1.0);
 }
 
-double PrefillPauses::expectedNewlyLate(Duration before, Duration after) const
+double PrefillPauses::expectedNewlyLate(Duration oldLength, Duration newLength) const
 {
     double sum = 0;
     for (const auto &[allowed, streams] : m_streams) {
-        sum += streams.onTime * std::max(0.0, lateProbabilityFor(after, allowed) - lateProbabilityFor(before, allowed));
+        sum += streams.onTime * std::max(0.0, lateProbabilityFor(newLength, allowed) - lateProbabilityFor(oldLength, allowed));
     }
     return sum;
 }
@@ -93,15 +94,15 @@
     return lateProbabilityFor(longestBurst(now - recentPeriod), allowed);
 }
 
-void PrefillPauses::recordPrefill(Instant now, Duration before, Duration after)
+void PrefillPauses::recordPrefill(Instant now, Duration oldLength, Duration newLength)
 {
     for (auto &[allowed, streams] : m_streams) {
-        streams.onTime *= 1.0 - std::max(0.0, lateProbabilityFor(after, allowed) - lateProbabilityFor(before, allowed));
+        streams.onTime *= 1.0 - std::max(0.0, lateProbabilityFor(newLength, allowed) - lateProbabilityFor(oldLength, allowed));
     }
-    while (!m_bursts.empty() && m_bursts.back().length <= after) {
+    while (!m_bursts.empty() && m_bursts.back().length <= newLength) {
         m_bursts.pop_back();
     }
-    m_bursts.push_back({now, after});
+    m_bursts.push_back({now, newLength});
     while (m_bursts.front().at < now - burstRetention) {
         m_bursts.pop_front();
     }
@@ -135,7 +136,7 @@
         return;
     }
     m_meanPause = m_meanPause == Duration::zero() ? seen.mean : movingAverage(m_meanPause, seen.mean, latestWeight);
-    // A pause that lasts as long as the prefill does not show how long a pause can get, and a longer one has another cause.
+    // A pause longer than the prefill has another cause.
     if (longestBurst(firstToken) < seen.longest) {
         return;
     }
--- a/Source/Dispatch/prefillpauses.h
+++ b/Source/Dispatch/prefillpauses.h
@@ -15,7 +15,7 @@
 
 namespace Yokepond::Dispatch {
 
-/// Pauses between the events of a stream as the run's home observed them; zero where there were none.
+/// Pauses between the events of one stream as the run's home observed them; zero where there were none.
 struct ObservedPauses
 {
     Base::Duration mean {};
@@ -38,9 +38,10 @@
 
 /// Estimates how many streams of one engine a prefill would make late, that is, give a pause longer than their class allows.
 ///
-/// While an engine does prefill for a time B, a stream pauses for at most B. It also pauses for at most the time that the tokens
-/// of one event take when the engine handles a chunk of a prompt before each token. This second bound is learned from the pauses
-/// of ended runs.
+/// A stream sends its tokens in events of one or more tokens. While an engine prefills for a time B without interruption, the
+/// expected pause between two events is the smaller of two values: B plus the mean time between events, and a longest pause. The
+/// longest pause is limited because the engine produces tokens between the chunks of a prompt, so an event waits only for as many
+/// chunks as it has tokens. It is learned from the pauses of ended runs.
 class PrefillPauses
 {
 public:
@@ -48,16 +49,15 @@
     explicit PrefillPauses(std::shared_ptr<LongestPause> poolLongestPause = std::make_shared<LongestPause>());
 
     /// Returns the expected number of active streams that are on time now and become late if the engine's uninterrupted prefill
-    /// takes
-    /// @p after instead of @p before.
-    double expectedNewlyLate(Base::Duration before, Base::Duration after) const;
+    /// grows from the duration @p oldLength to @p newLength.
+    double expectedNewlyLate(Base::Duration oldLength, Base::Duration newLength) const;
 
     /// Returns the probability that a new stream with the limit @p allowed becomes late, if the engine's prefill continues as it
     /// was recently.
     double lateProbability(Base::Duration allowed, Base::Instant now) const;
 
-    /// Records that the engine's uninterrupted prefill now takes @p after instead of @p before.
-    void recordPrefill(Base::Instant now, Base::Duration before, Base::Duration after);
+    /// Records that the engine's uninterrupted prefill grows from the duration @p oldLength to @p newLength.
+    void recordPrefill(Base::Instant now, Base::Duration oldLength, Base::Duration newLength);
 
     /// Adds a stream whose pauses may be up to @p allowed; zero: it has no limit.
     void addStream(Base::Duration allowed);
--- a/Source/Dispatch/shard.cpp
+++ b/Source/Dispatch/shard.cpp
@@ -25,24 +25,25 @@
 using Peer::RefusalReason;
 using Peer::RunResult;
 
-/// Factor on the median first-token time when the dispatcher decides whether an ask can still be on time.
+/// Factor on the median first-token time, and allowance for network delays, in the time to the first token that the queue
+/// expects. The queue prefers asks that can still be on time with it.
 constexpr double firstTokenMargin = 1.5;
-/// Allowance for network delays in the same decision.
 constexpr Duration expectedNetworkDelay = std::chrono::milliseconds(20);
 /// A home must start the run within this time after the grant.
 constexpr Duration startTimeout = std::chrono::seconds(2);
 /// After a takeover the new dispatcher waits this long for the homes' reports of running permits. Meanwhile it uses half of each
 /// window.
 constexpr Duration takeoverPeriod = std::chrono::milliseconds(300);
-/// The previous dispatcher of an endpoint may still grant runs from its own count until all hosts know of the change, and its
-/// last grants arrive even later. Until then this dispatcher uses half of an advertised rate limit.
+/// For this time after an endpoint has come to this dispatcher, half of its advertised rate limit is used. Its previous
+/// dispatcher may still grant runs up to the limit until all hosts have the new assignment, and its last grants arrive even
+/// later.
 constexpr Duration sharedRatePeriod = std::chrono::seconds(4);
 /// Period over which the rate of grants is measured, and the weight of the latest period in its moving average.
 constexpr Duration ratePeriod = std::chrono::seconds(1);
 constexpr double latestRateWeight = 0.4;
 constexpr Duration minRetryAfter = std::chrono::milliseconds(500);
-/// Added to the expected lateness in the retry time of a refused ask, so that the next attempt does not find the same state.
-constexpr Duration minExtraRetryAfterLate = std::chrono::milliseconds(100);
+/// Margin added to the retry time of an ask that is refused as late. Without it the next attempt would find the same state.
+constexpr Duration lateRetryMargin = std::chrono::milliseconds(100);
 constexpr Duration maxRetryAfter = std::chrono::seconds(30);
 /// Asks that were refused because of cooldowns are retried at random times within this period.
 constexpr Duration cooldownRetryJitter = std::chrono::milliseconds(500);
@@ -53,8 +54,8 @@
 /// Limits on the asks that are evaluated and skipped because no endpoint can take them. The limit is low for each ask and
 /// release, because hundreds of them arrive in a second and each evaluation costs about 0.5 us per endpoint. It is higher for a
 /// tick, so that asks further back in the queue find the engine that keeps their prompts. With a limit of 24 for each event, the
-/// dispatcher of 90 engines used up its processor time on evaluations in a burst of long prompts: it achieved 0.39 of the worth
-/// of that day, against 0.74 when processor time cost nothing.
+/// dispatcher of 90 engines used up its processor time on evaluations in a burst of long prompts. On a simulated day the fleet
+/// then served 0.39 of the attainable value in time, against 0.74 in a simulation that charges no processor time.
 constexpr std::size_t maxSkippedPerEvent = 3;
 constexpr std::size_t maxSkippedPerTick = 64;
 constexpr std::size_t maxEjectedDivisor = 3; ///< at most a third of the endpoints are ejected because the others are better
@@ -79,7 +80,7 @@
     configureEndpoints(now);
 }
 
-Shard::Order Shard::makeOrder(const Policies &policies)
+Shard::Queue Shard::makeQueue(const Policies &policies)
 {
     constexpr double percent = 100.0;
     if (policies.order == Configuration::OrderPolicy::Fifo) {
@@ -117,7 +118,7 @@
     for (const QueuedAsk *ask : queuedAsks()) {
         waiting.push_back(*ask);
     }
-    m_order = makeOrder(m_catalogue->policies());
+    m_queue = makeQueue(m_catalogue->policies());
     if (m_catalogue->policies().placement != m_placementPolicy || m_endpoints.empty()) {
         // The placement keeps what it has learned unless the policy itself changes.
         m_placementPolicy = m_catalogue->policies().placement;
@@ -164,7 +165,8 @@
     markUnusableUnreliable();
 }
 
-/// A leaving endpoint serves only its own runs, so other engines cannot fetch prompts from it.
+/// A leaving endpoint responds only to the runs that it already has, so other engines cannot fetch prompts from it. The same is
+/// assumed of drained and replaced endpoints.
 void Shard::markUnusableUnreliable()
 {
     for (const auto &entry : m_endpoints) {
@@ -212,7 +214,7 @@
 
 void Shard::enqueue(const QueuedAsk &ask)
 {
-    std::visit([&](auto &order) { order.insert(ask); }, m_order);
+    std::visit([&](auto &queue) { queue.insert(ask); }, m_queue);
 }
 
 void Shard::ask(Instant now, const Home &home, const Peer::Ask &message)
@@ -223,7 +225,7 @@
         m_replies.push_back({home, permit->second.grant});
         return;
     }
-    if (std::visit([&](const auto &order) { return order.find(key); }, m_order) != nullptr) {
+    if (std::visit([&](const auto &queue) { return queue.find(key); }, m_queue) != nullptr) {
         m_replies.push_back({home, Peer::Queued {message.id}});
         return;
     }
@@ -254,14 +256,14 @@
     m_lateRefusals.earn(queued.parameters.rank);
     WaitEstimates estimates(now, m_endpoints, m_placement, m_catalogue->policies().refuseLate);
     const QueueAhead ahead = estimates.needQueueAhead() ? aheadOf(queued) : QueueAhead {};
-    if (const WaitEstimate estimate = estimates.forAsk(queued, ahead); mayRefuseAsLate(queued, estimate)) {
+    if (const WaitEstimate estimate = estimates.forAsk(queued, ahead); tryLateRefusal(queued, estimate)) {
         refuse(queued, RefusalReason::TooLate, retryAfterLate(queued, estimate));
         return;
     }
     enqueue(queued);
     dispatchQueued(now, maxSkippedPerEvent);
     shedOverLimit(queued);
-    if (std::visit([&](const auto &order) { return order.find(key); }, m_order) != nullptr) {
+    if (std::visit([&](const auto &queue) { return queue.find(key); }, m_queue) != nullptr) {
         m_replies.push_back({home, Peer::Queued {message.id}});
     }
 }
@@ -271,8 +273,8 @@
     if (queued() <= m_catalogue->policies().queueLimit) {
         return;
     }
-    const AskKey evictionCandidate = std::visit([&](const auto &order) { return order.evictionCandidate(newAsk); }, m_order);
-    if (auto shed = std::visit([&](auto &order) { return order.remove(evictionCandidate); }, m_order)) {
+    const AskKey evictionCandidate = std::visit([&](const auto &queue) { return queue.evictionCandidate(newAsk); }, m_queue);
+    if (auto shed = std::visit([&](auto &queue) { return queue.remove(evictionCandidate); }, m_queue)) {
         ++m_counters.shed;
         refuse(*shed, RefusalReason::QueueFull);
     }
@@ -286,13 +288,14 @@
     if (!m_catalogue->policies().hopelessShedding || !m_saturated || m_grantsPerSecond <= 0) {
         return false;
     }
-    const std::size_t ahead = std::visit([&](const auto &order) { return order.aheadOf(ask.parameters.rank); }, m_order);
+    const std::size_t ahead
+        = std::visit([&](const auto &queue) { return queue.countInTierOrAbove(ask.parameters.rank); }, m_queue);
     return static_cast<double>(ahead) / m_grantsPerSecond > Base::seconds(ask.deadline - now);
 }
 
-/// An ask that cannot start before its deadline may always be refused, whatever its tier. One that would only miss its target
-/// may be refused if its tier has refusals left.
-bool Shard::mayRefuseAsLate(const QueuedAsk &ask, const WaitEstimate &estimate)
+/// An ask that cannot start before its deadline is always refused. One that would only miss its target is refused if the limit of
+/// its tier allows it.
+bool Shard::tryLateRefusal(const QueuedAsk &ask, const WaitEstimate &estimate)
 {
     return estimate.missesDeadline
         || (estimate.lateness > Duration::zero() && m_lateRefusals.spend(ask.parameters.rank, poolParameters().lowestRank()));
@@ -305,7 +308,8 @@
         const bool before = other->parameters.rank < ask.parameters.rank
             || (other->parameters.rank == ask.parameters.rank && other->arrival <= ask.arrival && other->key != ask.key);
         if (before) {
-            ahead.prefillTime += std::visit([&](const auto &placement) { return placement.prefillTime(*other); }, m_placement);
+            ahead.prefillTime
+                += std::visit([&](const auto &placement) { return placement.expectedPrefillTime(*other); }, m_placement);
             ++ahead.asks;
         }
     }
@@ -331,12 +335,12 @@
         if (estimate.missesDeadline) {
             continue;
         }
-        ahead.prefillTime += std::visit([&](const auto &placement) { return placement.prefillTime(*ask); }, m_placement);
+        ahead.prefillTime += std::visit([&](const auto &placement) { return placement.expectedPrefillTime(*ask); }, m_placement);
         ++ahead.asks;
     }
     for (const auto &[ask, estimate] : late) {
-        if (mayRefuseAsLate(ask, estimate)) {
-            std::visit([&](auto &order) { order.remove(ask.key); }, m_order);
+        if (tryLateRefusal(ask, estimate)) {
+            std::visit([&](auto &queue) { queue.remove(ask.key); }, m_queue);
             refuse(ask, RefusalReason::TooLate, retryAfterLate(ask, estimate));
         }
     }
@@ -344,8 +348,8 @@
 
 void Shard::refuse(const QueuedAsk &ask, RefusalReason reason)
 {
-    if (reason == RefusalReason::QueueFull && std::holds_alternative<TieredOrder>(m_order)) {
-        const std::size_t ofTierOrAbove = std::get<TieredOrder>(m_order).aheadOf(ask.parameters.rank);
+    if (reason == RefusalReason::QueueFull && std::holds_alternative<TieredOrder>(m_queue)) {
+        const std::size_t ofTierOrAbove = std::get<TieredOrder>(m_queue).countInTierOrAbove(ask.parameters.rank);
         Base::require(ofTierOrAbove == queued(), Base::Invariant::HigherTierKept);
     }
     refuse(ask, reason, retryAfter());
@@ -392,19 +396,19 @@
     for (const QueuedAsk *ask : queuedAsks()) {
         refuse(*ask, *reason);
     }
-    m_order = makeOrder(m_catalogue->policies());
+    m_queue = makeQueue(m_catalogue->policies());
 }
 
 /// Returns when a late ask may be retried. While all endpoints are in cooldown this is the end of the first cooldown, plus a
 /// jitter so that the refused asks do not all return at once.
 Duration Shard::retryAfterLate(const QueuedAsk &ask, const WaitEstimate &estimate)
 {
-    const Duration late = estimate.lateness + minExtraRetryAfterLate;
+    const Duration late = estimate.lateness + lateRetryMargin;
     if (estimate.cooldown == Duration::zero()) {
         return late;
     }
     const auto spread = static_cast<Duration::rep>(Base::hash64(requestName(ask.home, ask.key)) % cooldownRetryJitter.count());
-    return std::max(late, estimate.cooldown + minExtraRetryAfterLate + Duration(spread));
+    return std::max(late, estimate.cooldown + lateRetryMargin + Duration(spread));
 }
 
 Duration Shard::retryAfter() const
@@ -420,7 +424,7 @@
 void Shard::withdraw(Instant now, const Home &home, const Peer::Withdrawal &withdrawal)
 {
     const AskKey key {home.incarnation, withdrawal.id};
-    if (std::visit([&](auto &order) { return order.remove(key); }, m_order)) {
+    if (std::visit([&](auto &queue) { return queue.remove(key); }, m_queue)) {
         ++m_counters.withdrawn;
     } else {
         // The grant was sent before the withdrawal arrived; the home will not use it.
@@ -521,8 +525,8 @@
     }
 }
 
-/// Only the dispatcher sees all runs at an endpoint, so it enforces the rate limit of the endpoint. Homes send it the limit:
-/// those that received it in a response, and those whose information is newer than that in a grant.
+/// Only the dispatcher sees all runs at an endpoint, so it enforces the rate limit of the endpoint. A home sends it the limit in
+/// two cases: when a response of the endpoint advertised it, and when a grant shows that the dispatcher has older information.
 void Shard::applyRateUpdate(Instant now, const Home &home, const Peer::EndpointNews &news, EndpointState &state)
 {
     const Rate::KnownRate before = state.rateLimiter.known();
@@ -566,7 +570,7 @@
         if (endpoint != m_endpoints.end()) {
             endpoint->second.cooldowns.removeExpired(now);
         }
-        return endpoint == m_endpoints.end() || !endpoint->second.cooldowns.isActive(now);
+        return endpoint == m_endpoints.end() || !endpoint->second.cooldowns.restrictsAnyHome(now);
     });
     for (EndpointState &state : m_endpoints | std::views::values) {
         state.announcedLeaving = state.announcedLeaving && now < state.leavingUntil;
@@ -595,7 +599,7 @@
         }
     }
     for (const AskKey &key : keys) {
-        std::visit([&](auto &order) { order.remove(key); }, m_order);
+        std::visit([&](auto &queue) { queue.remove(key); }, m_queue);
         ++m_counters.withdrawn;
     }
     dispatchQueued(now, maxSkippedPerEvent);
@@ -643,8 +647,8 @@
         m_periodBegan = now;
         m_saturated = queued() > 0;
     }
-    for (const AskKey &key : std::visit([&](const auto &order) { return order.expired(now); }, m_order)) {
-        if (const auto ask = std::visit([&](auto &order) { return order.remove(key); }, m_order)) {
+    for (const AskKey &key : std::visit([&](const auto &queue) { return queue.expired(now); }, m_queue)) {
+        if (const auto ask = std::visit([&](auto &queue) { return queue.remove(key); }, m_queue)) {
             refuse(*ask, RefusalReason::DeadlinePassed);
         }
     }
@@ -660,11 +664,11 @@
 {
     const bool ejectSlow = m_catalogue->policies().ejectSlow;
     const auto median = medianInterTokenLatency(m_endpoints);
-    const auto errors = medianErrorShare(m_endpoints);
+    const auto medianErrors = medianErrorShare(m_endpoints);
     std::size_t ejected = ejectedCount(m_endpoints);
     for (auto &[number, state] : m_endpoints) {
         const bool mayCompare = (ejected + 1) * maxEjectedDivisor <= m_endpoints.size();
-        const bool worse = state.health.hasHighErrorShare(errors) || (ejectSlow && state.health.isSlow(median));
+        const bool worse = state.health.hasHighErrorShare(medianErrors) || (ejectSlow && state.health.isSlow(median));
         const bool bad = state.health.isFailing() || (mayCompare && worse);
         if (!bad || state.health.state() == HealthState::Ejected) {
             continue;
@@ -715,7 +719,8 @@
     if (!median) {
         return Duration::zero();
     }
-    // Runs vary: of the asks that would just be on time with the median, more than half are late.
+    // The factor is needed because first-token times vary. Of the asks that would only just be on time with the median, more than
+    // half would be late.
     return std::chrono::duration_cast<Duration>(*median * firstTokenMargin) + expectedNetworkDelay;
 }
 
@@ -729,13 +734,13 @@
     // An ask that no endpoint can take now, because of its size or the prefill backlog, does not block the asks behind it.
     std::vector<QueuedAsk> skipped;
     while (queued() > 0 && skipped.size() < maxSkipped && !withFreeSlots.empty()) {
-        const auto key = std::visit([&](auto &order) { return order.next(now, expected); }, m_order);
-        const QueuedAsk waiting = *std::visit([&](const auto &order) { return order.find(*key); }, m_order);
+        const auto key = std::visit([&](auto &queue) { return queue.next(now, expected); }, m_queue);
+        const QueuedAsk waiting = *std::visit([&](const auto &queue) { return queue.find(*key); }, m_queue);
         if (tryGrant(now, waiting, withFreeSlots)) {
             withFreeSlots = candidates(now);
         } else {
             skipped.push_back(waiting);
-            std::visit([&](auto &order) { order.remove(waiting.key); }, m_order);
+            std::visit([&](auto &queue) { queue.remove(waiting.key); }, m_queue);
         }
     }
     std::ranges::for_each(skipped, [this](const QueuedAsk &ask) { enqueue(ask); });
@@ -763,7 +768,7 @@
     if (!endpoint) {
         return false;
     }
-    const auto ask = std::visit([&](auto &order) { return order.serve(waiting.key); }, m_order);
+    const auto ask = std::visit([&](auto &queue) { return queue.serve(waiting.key); }, m_queue);
     grant(now, *ask, *endpoint);
     return true;
 }
@@ -811,7 +816,7 @@
     for (const QueuedAsk *ask : queuedAsks()) {
         m_replies.push_back({ask->home, Peer::Refusal {ask->key.id, RefusalReason::NotDispatcher, Duration::zero(), 0}});
     }
-    m_order = makeOrder(m_catalogue->policies());
+    m_queue = makeQueue(m_catalogue->policies());
 }
 
 std::vector<Reply> Shard::takeReplies()
@@ -831,7 +836,7 @@
 
 std::size_t Shard::queued() const
 {
-    return std::visit([](const auto &order) { return order.size(); }, m_order);
+    return std::visit([](const auto &queue) { return queue.size(); }, m_queue);
 }
 
 std::size_t Shard::permits() const
@@ -848,9 +853,10 @@
 {
     AskView view;
     view.total = queued();
-    if (const QueuedAsk *ask = std::visit([&](const auto &order) { return order.find(key); }, m_order)) {
+    if (const QueuedAsk *ask = std::visit([&](const auto &queue) { return queue.find(key); }, m_queue)) {
         view.queued = true;
-        view.ahead = std::visit([&](const auto &order) { return order.aheadOf(ask->parameters.rank); }, m_order);
+        view.inTierOrAbove
+            = std::visit([&](const auto &queue) { return queue.countInTierOrAbove(ask->parameters.rank); }, m_queue);
     }
     if (const auto permit = m_permits.find(key); permit != m_permits.end()) {
         view.endpoint = permit->second.endpoint;
@@ -860,7 +866,7 @@
 
 std::vector<const QueuedAsk *> Shard::queuedAsks() const
 {
-    return std::visit([](const auto &order) { return order.all(); }, m_order);
+    return std::visit([](const auto &queue) { return queue.all(); }, m_queue);
 }
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/shard.h
+++ b/Source/Dispatch/shard.h
@@ -3,6 +3,8 @@
 
 /// @file
 /// The dispatcher's state of one shard: the queue of asks from all homes, the load of the endpoints, and the outstanding permits.
+/// A shard is a group of endpoints of one pool in one data centre. A home is the host that accepted a request; it asks the
+/// dispatcher of a shard for an endpoint and then runs the request there.
 
 #pragma once
 
@@ -51,7 +53,7 @@
 struct AskView
 {
     bool queued = false;
-    std::size_t ahead = 0; ///< queued asks of its tier and the tiers above
+    std::size_t inTierOrAbove = 0; ///< queued asks of its tier and the tiers above
     std::size_t total = 0; ///< all queued asks of the shard
     std::uint32_t endpoint = 0; ///< endpoint of its permit, 0 if it has none
 };
@@ -106,9 +108,9 @@
     std::vector<const QueuedAsk *> queuedAsks() const;
 
 private:
-    using Order = std::variant<FifoOrder, TieredOrder>;
+    using Queue = std::variant<FifoOrder, TieredOrder>;
 
-    /// A grant that is given and not yet released.
+    /// A grant that has not been released yet.
     struct Permit
     {
         Home home;
@@ -118,18 +120,18 @@
         Peer::Grant grant;
         bool windowWasFull = false; ///< the window of the endpoint was full after the grant
         PlacedRun placed;
-        Base::Instant expires = Base::Instant::max(); ///< after this the run must have ended and its release was lost
-        bool accepted = false; ///< the endpoint would have rejected the run by now
+        Base::Instant expires = Base::Instant::max(); ///< by this time the run has ended; a missing release was lost
+        bool accepted = false; ///< no rejection arrived in time, so the endpoint accepted the run
     };
 
-    static Order makeOrder(const Configuration::Policies &policies);
+    static Queue makeQueue(const Configuration::Policies &policies);
     static Placement makePlacement(const Configuration::Policies &policies);
     Window makeWindow(std::uint32_t slots) const;
 
     /// Creates the queue and the placement that the configuration asks for, and moves the queued asks to the new queue.
     void buildPolicies();
     void configureEndpoints(Base::Instant now);
-    /// Marks unusable endpoints as unreliable in the placement.
+    /// Tells the placement that other engines cannot fetch prompts from the unusable endpoints.
     void markUnusableUnreliable();
     void markReplaced(std::uint32_t endpoint);
     PoolParameters poolParameters() const;
@@ -149,11 +151,13 @@
     std::uint32_t freeSlots(const EndpointState &state, Base::Instant now) const;
     void grant(Base::Instant now, const QueuedAsk &ask, std::uint32_t endpoint);
     void dropPermit(const AskKey &key, const ObservedTokens &seen = {});
-    bool mayRefuseAsLate(const QueuedAsk &ask, const WaitEstimate &estimate);
+    /// Returns whether a late ask is to be refused. A refusal because of its target uses up one of those that LateRefusals allows
+    /// its tier.
+    bool tryLateRefusal(const QueuedAsk &ask, const WaitEstimate &estimate);
     /// Returns the queued asks that are served before @p ask.
     QueueAhead aheadOf(const QueuedAsk &ask) const;
     void refuseLate(Base::Instant now);
-    /// Drops permits that have expired, and notes the runs that their endpoints did not reject in time.
+    /// Drops permits that have expired, and marks as accepted the runs that were not rejected within maxRejectionDelay.
     void dropExpiredPermits(Base::Instant now);
     /// Ejects endpoints that fail, and those that are much worse than the median of the shard.
     void ejectUnhealthy(Base::Instant now);
@@ -170,13 +174,12 @@
     /// Returns the time that the queue needs to drain at the present rate of grants, within bounds.
     Base::Duration retryAfter() const;
     static Base::Duration retryAfterLate(const QueuedAsk &ask, const WaitEstimate &estimate);
-    /// Returns the load of the shard: asks queued and running per thousand slots.
+    /// Returns the load of the shard: the queued asks and the permits per thousand slots of the endpoints' windows.
     std::uint32_t pressure() const;
     /// Returns why no endpoint can accept work, or nothing if one can.
     std::optional<Peer::RefusalReason> reasonForNoEndpoint() const;
     /// Refuses all queued asks if no endpoint can accept work.
     void refuseAllIfNoEndpoint();
-    void noteGrant(Base::Instant now);
     /// Checks the invariant that the endpoints' run counts add up to the permits.
     void checkPermits() const;
 
@@ -184,7 +187,7 @@
     std::shared_ptr<const Configuration::Catalogue> m_catalogue;
     Base::Instant m_takeoverAt; ///< when this host became the dispatcher
     Configuration::PlacementPolicy m_placementPolicy {};
-    Order m_order;
+    Queue m_queue;
     Placement m_placement;
     EndpointStates m_endpoints;
     std::unordered_map<AskKey, Permit, AskKeyHash> m_permits; ///< outstanding permits
--- a/Source/Dispatch/shardmap.cpp
+++ b/Source/Dispatch/shardmap.cpp
@@ -79,8 +79,9 @@
 /// Returns the intended shard size: the configured one, or the largest that the hosts with the most processor time can dispatch,
 /// since those become dispatchers. Few large shards are better than many small ones. Their dispatchers have more information
 /// about cached prompts, free slots and lost endpoints, and lose less of it when endpoints change their shard; and a home gets
-/// messages from each of them more often. Worth of a day of high load of the large deployment with 320 endpoints (single runs
-/// that do not count processor time, and differ by 0.03): 0.49 and 0.53 with ten shards, 0.57 with two, 0.55 and 0.60 with one.
+/// messages from each of them more often. On a day of high load of the large deployment with 320 endpoints, the served share of
+/// the attainable value was 0.49 and 0.53 with ten shards, 0.57 with two, and 0.55 and 0.60 with one (single simulated days,
+/// which differ by 0.03, without a charge for processor time).
 std::size_t endpointsPerShard(const Configuration::Policies &policies, const std::vector<Member> &members)
 {
     if (policies.shardSize > 0) {
--- a/Source/Dispatch/soonestfirsttoken.cpp
+++ b/Source/Dispatch/soonestfirsttoken.cpp
@@ -25,19 +25,21 @@
 constexpr double backlogShare = 0.4;
 /// The same for an engine that caches most of the prompt: any other engine would need a full prefill.
 constexpr double backlogShareIfCached = 0.6;
-/// Share of the tightest first-token target of the tiers above that the whole backlog of an engine may take, including this run.
+/// Limit on the backlog of an engine, including this run, so that more urgent tiers find engines in time. It is relative to the
+/// shortest first-token target of the more urgent tiers.
 constexpr double shareOfTightestAbove = 0.6;
-/// An engine with a shorter backlog counts as idle: it also gets prompts that are too long for the limits above.
-constexpr Base::Duration freeBacklog = std::chrono::milliseconds(20);
-/// Cost factor on the prefill of a prompt outside its preferred engine. Such a prompt displaces other cached prompts, which later
-/// need a second prefill too.
-constexpr double repeatedPrefillFactor = 2.5;
-/// Cost of an engine whose window is full. Each token takes longer with more active runs.
-constexpr double fullWindowMs = 300.0;
+/// A shorter backlog is ignored, so that a prompt that is too long for the limits above can still be placed.
+constexpr Base::Duration negligibleBacklog = std::chrono::milliseconds(20);
+/// Factor on the cost of a prefill at an engine that is not the preferred one of the prompt. The prefill may be done at the
+/// preferred engine as well, and it displaces cached prompts here, which later need another prefill.
+constexpr double nonPreferredPrefillFactor = 2.5;
+/// Cost of the load of an engine: this many milliseconds in proportion to the used share of its window. Each token takes longer
+/// with more active runs.
+constexpr double loadCostMs = 300.0;
 /// Cost of each run that a prefill pause is expected to make late, in milliseconds of prefill. It directs long prefills to
 /// engines with few streams that allow only short pauses, and such streams to engines with little prefill. For a class that
 /// allows 200 ms between events, where three chunks of a prompt take about that long, it raises the share of runs on time from
-/// 0.70 to 0.78 (trials of twelve days). A cost of 1000 gives no further gain there.
+/// 0.70 to 0.78 (trials of twelve simulated days). A cost of 1000 gives no further gain there.
 constexpr double lateRunMs = 300.0;
 /// Share of the prefill time that is added to the cost for each active run, since these runs wait during a prefill.
 constexpr double interferenceFactor = 0.1;
@@ -79,8 +81,8 @@
     return std::uint64_t {ask.ask.promptTokens} + ask.ask.expectedTokens;
 }
 
-/// Returns the endpoint that is preferred for a prompt that no engine caches. Rendezvous hashing gives the same endpoint on every
-/// host, so a new dispatcher sends prompts to the same engines as its predecessor.
+/// Returns the preferred endpoint of the ask's prompt, where a prefill costs least if no engine has cached it. It is chosen by
+/// rendezvous hashing of the shared prefix, so a new dispatcher sends prompts to the same engines as its predecessor.
 std::uint32_t preferredEndpoint(const QueuedAsk &ask, std::span<const Candidate> candidates)
 {
     const std::uint64_t shared = sharedPrefix(ask.ask.prefix);
@@ -100,7 +102,7 @@
     if (ask.parameters.tightestAbove > Base::Duration::zero()) {
         longest = std::min(longest, scaled(ask.parameters.tightestAbove, shareOfTightestAbove) - prefillTime);
     }
-    return std::max(longest, freeBacklog);
+    return std::max(longest, negligibleBacklog);
 }
 
 Base::Duration longestBacklog(const QueuedAsk &ask, std::uint32_t cachedTokens, Base::Duration ownTime)
@@ -187,8 +189,8 @@
     }
 }
 
-/// Counts half of the prompt, since most of a queued prompt is cached by some engine or soon will be.
-Base::Duration SoonestFirstToken::prefillTime(const QueuedAsk &ask) const
+/// Returns the prefill time of half of the prompt. Much of a queued prompt is cached by some engine or soon will be.
+Base::Duration SoonestFirstToken::expectedPrefillTime(const QueuedAsk &ask) const
 {
     return timeToPrefill(ask.ask.promptTokens) / 2;
 }
@@ -197,12 +199,12 @@
 {
     Keeper best;
     for (const auto &[endpoint, engine] : m_engines) {
-        if (!engine.lendsPrompts) {
+        if (!engine.allowsTransfers) {
             continue;
         }
         const std::uint32_t tokens = std::min(ask.ask.promptTokens, engine.cache.cachedTokensBy(chainOf(ask), now));
         const Base::Duration busy = std::max(Base::Duration::zero(), engine.transfersUntil - now);
-        if (tokens > best.tokens || (tokens > 0 && tokens == best.tokens && busy < best.linkBusy)) {
+        if (tokens > best.tokens || (tokens > 0 && tokens == best.tokens && busy < best.transferDelay)) {
             best = {endpoint, tokens, busy};
         }
     }
@@ -218,7 +220,7 @@
     if (candidate.movedTokensPerMs > 0 && keeper.tokens > plan.cachedTokens && keeper.endpoint != candidate.endpoint) {
         const std::uint32_t transferred = keeper.tokens - plan.cachedTokens;
         const Base::Duration transferTime
-            = keeper.linkBusy + transferSetupTime + fromMs(transferred / candidate.movedTokensPerMs);
+            = keeper.transferDelay + transferSetupTime + fromMs(transferred / candidate.movedTokensPerMs);
         if (timeToPrefill(transferred) > transferTime * minTransferGain) {
             plan.cachedTokens = keeper.tokens;
             plan.keeper = keeper.endpoint;
@@ -238,15 +240,15 @@
     Cost cost;
     cost.backlog = engine == nullptr ? Base::Duration::zero() : backlogOf(*engine, ask.parameters.rank, now);
     cost.ownTime = plan.transferTime + plan.prefillTime;
-    cost.prefillTime = scaled(plan.prefillTime, 1.0 / prefillShare);
+    cost.effectivePrefillTime = scaled(plan.prefillTime, 1.0 / prefillShare);
     cost.cachedTokens = plan.cachedTokens;
     cost.kvTokens = kvTokensFor(ask, plan);
-    // The prefill counts at the speed of the pool, since it costs the pool the same everywhere. A slow engine still costs more
-    // through its backlog, its pauses and late first tokens.
-    const double own = Base::milliseconds(plan.transferTime + timeToPrefill(ask.ask.promptTokens - plan.cachedTokens));
-    const double prefillFactor = preferred || plan.keeper != 0 ? 1.0 : repeatedPrefillFactor;
-    cost.baseMs = Base::milliseconds(cost.backlog) + own * prefillFactor + loadOf(candidate) * fullWindowMs
-        + own * candidate.running * interferenceFactor
+    // Uses the average speed of the pool, since a prefill takes the same capacity from the pool at each engine. A slow engine
+    // still has a higher cost because of its longer backlog, its longer pauses and its late first tokens.
+    const double ownMs = Base::milliseconds(plan.transferTime + timeToPrefill(ask.ask.promptTokens - plan.cachedTokens));
+    const double prefillFactor = preferred || plan.keeper != 0 ? 1.0 : nonPreferredPrefillFactor;
+    cost.baseMs = Base::milliseconds(cost.backlog) + ownMs * prefillFactor + loadOf(candidate) * loadCostMs
+        + ownMs * candidate.running * interferenceFactor
         + Base::milliseconds(timeToPrefill(plan.transferredTokens)) * transferCostFactor;
     return cost;
 }
@@ -295,7 +297,7 @@
             continue;
         }
         const double costMs
-            = cost.baseMs + expectedLateRuns(ask, engineOf(candidate.endpoint), cost.prefillTime, now) * lateRunMs;
+            = cost.baseMs + expectedLateRuns(ask, engineOf(candidate.endpoint), cost.effectivePrefillTime, now) * lateRunMs;
         if (!best || costMs < lowestCost) {
             best = candidate.endpoint;
             lowestCost = costMs;
@@ -315,12 +317,12 @@
     return least;
 }
 
-Base::Duration SoonestFirstToken::maxExpectedFirstToken(const QueuedAsk &ask, const LeastBacklog &least) const
+Base::Duration SoonestFirstToken::firstTokenUpperBound(const QueuedAsk &ask, const LeastBacklog &least) const
 {
     if (least.time == Base::Duration::max()) {
         return least.time;
     }
-    // A transfer is used only if it takes less time than a prefill at the pool's speed.
+    // Transfers need no term of their own, since one is used only if it takes less time than the prefill at the pool's speed.
     const std::uint32_t tokens = ask.ask.promptTokens;
     return least.time + std::max(timeToPrefill(tokens), timeToPrefill(engineOf(least.endpoint), tokens)) + overhead;
 }
@@ -363,16 +365,16 @@
                                              [](Base::Duration time) { return time == Base::Duration::zero(); });
     run.expectedFirstToken = backlog + plan.transferTime + prefillTime;
     run.rank = ask.parameters.rank;
-    run.prefillTime = scaled(prefillTime, 1.0 / prefillShare);
+    run.effectivePrefillTime = scaled(prefillTime, 1.0 / prefillShare);
     run.placedAt = now;
     run.allowedPause = ask.parameters.tokenGap;
     const Base::Duration burst = backlogOf(engine, now);
-    engine.pauses.recordPrefill(now, burst, burst + run.prefillTime);
+    engine.pauses.recordPrefill(now, burst, burst + run.effectivePrefillTime);
     engine.pauses.addStream(run.allowedPause);
-    engine.pendingPrefill[run.rank] += run.prefillTime;
-    engine.activePrefill[run.rank] += run.prefillTime;
+    engine.pendingPrefill[run.rank] += run.effectivePrefillTime;
+    engine.prefillOfActiveRuns[run.rank] += run.effectivePrefillTime;
     engine.runningTokens += run.kvTokens;
-    engine.cache.insert(chainOf(ask), now + scaled(backlog + plan.transferTime + run.prefillTime, prefillMargin));
+    engine.cache.insert(chainOf(ask), now + scaled(backlog + plan.transferTime + run.effectivePrefillTime, prefillMargin));
     if (candidate.memoryTokens > 0) {
         // Active runs and cached prompts share the memory, and active runs are not evicted.
         engine.cache.shrink(candidate.memoryTokens - std::min(candidate.memoryTokens, engine.runningTokens));
@@ -390,14 +392,14 @@
     engine->second.pauses.removeStream(run.allowedPause, run.placedAt + seen.first, seen.pauses);
     logLongestPause(run, seen);
     if (seen.first > Base::Duration::zero() && run.reliabilityEpoch == engine->second.reliabilityEpoch) {
-        engine->second.lendsPrompts = true;
+        engine->second.allowsTransfers = true;
     }
     // An engine drops the remaining prefill of a run that has ended, so the pending prefill cannot exceed that of the active
     // runs.
-    Base::Duration &activePrefill = engine->second.activePrefill[run.rank];
-    activePrefill = std::max(Base::Duration::zero(), activePrefill - run.prefillTime);
+    Base::Duration &prefillOfActiveRuns = engine->second.prefillOfActiveRuns[run.rank];
+    prefillOfActiveRuns = std::max(Base::Duration::zero(), prefillOfActiveRuns - run.effectivePrefillTime);
     Base::Duration &pendingPrefill = engine->second.pendingPrefill[run.rank];
-    pendingPrefill = std::min(pendingPrefill, activePrefill);
+    pendingPrefill = std::min(pendingPrefill, prefillOfActiveRuns);
     // If the run waited for other prompts, its time shows errors of the model rather than the speed of the engine.
     if (run.wasOnlyPrefill && seen.first > Base::Duration::zero() && run.prefillTokens >= minTokensToLearn) {
         updatePrefillSpeed(engine->second, run, seen.first);
@@ -441,13 +443,13 @@
     }
 }
 
-/// Stops transfers from the engine, but keeps its cache estimate: an engine that fails some runs still has its prompts. An engine
-/// that restarts gets a new name if the platform reports that; otherwise the first-token times of its next runs show what it
-/// lost.
+/// Stops transfers from the engine, but keeps the estimate of its cache: an engine that fails some runs still has its prompts. An
+/// engine that restarts becomes a new endpoint where the platform reports restarts. Elsewhere, higher first-token times of its
+/// next runs show that it has lost its cache.
 void SoonestFirstToken::markUnreliable(std::uint32_t endpoint)
 {
     if (const auto engine = m_engines.find(endpoint); engine != m_engines.end()) {
-        engine->second.lendsPrompts = false;
+        engine->second.allowsTransfers = false;
         ++engine->second.reliabilityEpoch;
     }
 }
--- a/Source/Dispatch/soonestfirsttoken.h
+++ b/Source/Dispatch/soonestfirsttoken.h
@@ -22,14 +22,15 @@
 /// counts the delay that the prefill causes for other runs. The estimate comes from a model of each engine: the prompts in its KV
 /// cache, its prefill backlog, and the memory of its runs. An ask stays in the dispatcher's queue when the backlog of all engines
 /// is too long for it; the limit is lower for less urgent tiers. The name is that of the setting's value `soonest-first-token`.
+/// An engine is an endpoint that runs a language model.
 class SoonestFirstToken
 {
 public:
     std::optional<std::uint32_t> choose(const QueuedAsk &ask, std::span<const Candidate> candidates, Base::Instant now) const;
     Base::Duration expectedFirstToken(const QueuedAsk &ask, std::span<const Candidate> candidates, Base::Instant now) const;
     LeastBacklog leastBacklog(int rank, std::span<const Candidate> candidates, Base::Instant now) const;
-    Base::Duration maxExpectedFirstToken(const QueuedAsk &ask, const LeastBacklog &least) const;
-    Base::Duration prefillTime(const QueuedAsk &ask) const;
+    Base::Duration firstTokenUpperBound(const QueuedAsk &ask, const LeastBacklog &least) const;
+    Base::Duration expectedPrefillTime(const QueuedAsk &ask) const;
     PlacedRun recordPlacement(const QueuedAsk &ask, const Candidate &candidate, Base::Instant now);
     void recordEnd(const PlacedRun &run, const ObservedTokens &seen);
     void markUnreliable(std::uint32_t endpoint);
@@ -44,25 +45,25 @@
         }
 
         PromptCache cache;
-        bool lendsPrompts = true; ///< other engines may fetch prompts from it
+        bool allowsTransfers = true; ///< other engines may fetch prompts from it
         std::uint32_t reliabilityEpoch
             = 0; ///< grows each time that the engine is marked unreliable; only runs placed later can make it reliable again
         Base::Instant transfersUntil {}; ///< expected end of the transfers from this engine
         std::map<int, Base::Duration>
             pendingPrefill; ///< by rank: prefill time not yet done; the engine prefills the most urgent rank first
-        std::map<int, Base::Duration> activePrefill; ///< by rank: prefill times of all runs that have not ended
+        std::map<int, Base::Duration> prefillOfActiveRuns; ///< by rank: prefill times of all active runs, done or not
         Base::Instant updatedAt {}; ///< time point for which pendingPrefill is valid
         std::uint64_t runningTokens = 0; ///< KV-cache tokens of its active runs
         PrefillPauses pauses;
         double tokensPerMs = 0; ///< learned prefill speed, 0 before the first usable observation
     };
 
-    /// The engine that has the longest prefix of a prompt that other engines can fetch now.
+    /// The keeper of a prompt: the engine from which others can now fetch the longest cached prefix.
     struct Keeper
     {
         std::uint32_t endpoint = 0; ///< 0 for none
         std::uint32_t tokens = 0; ///< length of the prefix
-        Base::Duration linkBusy {}; ///< until its present transfers end
+        Base::Duration transferDelay {}; ///< time until its present transfers end
     };
 
     /// The work that an engine has to do before the first token of a run.
@@ -71,8 +72,8 @@
         std::uint32_t cachedTokens = 0; ///< tokens of the prompt in its cache after the transfer from the keeper
         std::uint32_t keeper = 0; ///< endpoint to fetch a prefix from, 0 for none
         std::uint32_t transferredTokens = 0; ///< tokens fetched from the keeper
-        Base::Duration transferTime {};
-        Base::Duration prefillTime {};
+        Base::Duration transferTime {}; ///< time until the transfer is complete
+        Base::Duration prefillTime {}; ///< time of the prefill if the engine did nothing else
     };
 
     /// The cost of placing a run at an engine, without the streams that its prefill makes late. Those are counted last, because
@@ -83,7 +84,7 @@
         Base::Duration ownTime {}; ///< transfer and prefill of the run's prompt
         std::uint32_t cachedTokens = 0; ///< tokens of the prompt that need no prefill
         std::uint64_t kvTokens = 0; ///< KV-cache tokens that the run needs
-        Base::Duration prefillTime {};
+        Base::Duration effectivePrefillTime {}; ///< prefill time slowed by the tokens of other runs
         double baseMs = 0; ///< cost in milliseconds, without late streams
     };
 
--- a/Source/Dispatch/waitestimates.cpp
+++ b/Source/Dispatch/waitestimates.cpp
@@ -31,9 +31,9 @@
 {
     const Duration late = latenessOf(ask, ahead);
     const Duration cooldown = remainingCooldown(ask.home.incarnation);
-    const Instant begins = m_now + std::max(rateLimitWait(ahead.asks), cooldown);
-    const bool missesDeadline = begins >= ask.deadline;
-    return {missesDeadline ? std::max(late, begins - ask.target()) : late, missesDeadline, cooldown};
+    const Instant start = m_now + std::max(rateLimitWait(ahead.asks), cooldown);
+    const bool missesDeadline = start >= ask.deadline;
+    return {missesDeadline ? std::max(late, start - ask.target()) : late, missesDeadline, cooldown};
 }
 
 /// Returns the time by which the first token is expected to miss its target; zero if it can be on time.
@@ -42,33 +42,34 @@
     const Duration cooldown = remainingCooldown(ask.home.incarnation);
     // Refusing a later attempt would waste the run of the earlier one, unless the endpoints rejected that run because of
     // cooldowns.
-    const bool hasCostARun = ask.key.id.attempt > 1 && cooldown == Duration::zero();
-    if (!m_refuseLate || hasCostARun) {
+    const bool wouldWasteARun = ask.key.id.attempt > 1 && cooldown == Duration::zero();
+    if (!m_refuseLate || wouldWasteARun) {
         return Duration::zero();
     }
-    const Duration closed = std::max(rateLimitWait(ahead.asks), cooldown);
+    const Duration advertisedWait = std::max(rateLimitWait(ahead.asks), cooldown);
     const bool modelled
-        = std::visit([&](const auto &placement) { return placement.prefillTime(ask); }, m_placement) > Duration::zero();
+        = std::visit([&](const auto &placement) { return placement.expectedPrefillTime(ask); }, m_placement) > Duration::zero();
     if (!modelled) {
         // Without a model of engines only the rate limits and cooldowns that the endpoints advertise give an estimate.
-        return closed > Duration::zero() ? std::max(Duration::zero(), m_now + closed - ask.target()) : Duration::zero();
+        return advertisedWait > Duration::zero() ? std::max(Duration::zero(), m_now + advertisedWait - ask.target())
+                                                 : Duration::zero();
     }
     if (m_usable.empty()) {
         m_usable = usableCandidates(m_endpoints, m_now);
     }
-    const Duration behindWork = ahead.prefillTime / std::max<std::int64_t>(1, static_cast<std::int64_t>(m_usable.size()));
-    const Instant begins = m_now + std::max(closed, behindWork);
+    const Duration prefillWait = ahead.prefillTime / std::max<std::int64_t>(1, static_cast<std::int64_t>(m_usable.size()));
+    const Instant start = m_now + std::max(advertisedWait, prefillWait);
     return std::visit(
         [&](const auto &placement) {
             const auto [least, added] = m_leastBacklogs.try_emplace(ask.parameters.rank);
             if (added) {
                 least->second = placement.leastBacklog(ask.parameters.rank, m_usable, m_now);
             }
-            const Duration atMost = placement.maxExpectedFirstToken(ask, least->second);
-            if (atMost < Duration::max() && begins + atMost <= ask.target()) {
+            const Duration atMost = placement.firstTokenUpperBound(ask, least->second);
+            if (atMost < Duration::max() && start + atMost <= ask.target()) {
                 return Duration::zero();
             }
-            return std::max(Duration::zero(), begins + placement.expectedFirstToken(ask, m_usable, m_now) - ask.target());
+            return std::max(Duration::zero(), start + placement.expectedFirstToken(ask, m_usable, m_now) - ask.target());
         },
         m_placement);
 }
--- a/Source/Node/queries.cpp
+++ b/Source/Node/queries.cpp
@@ -418,7 +418,7 @@
                      {"step", "queued"},
                      {"detail",
                       fmt::format("in shard {:08x}: {} asks of its tier or above and {} in all wait for {} endpoints", id,
-                                  view.ahead, view.total, shard.info().endpoints.size())}});
+                                  view.inTierOrAbove, view.total, shard.info().endpoints.size())}});
             }
         }
     }
--- a/Tests/Dispatch/cooldownstest.cpp
+++ b/Tests/Dispatch/cooldownstest.cpp
@@ -15,7 +15,7 @@
 {
     Cooldowns cooldowns;
 
-    /// Homes 1 to @p homes are each turned away and asked for rest until second 3.
+    /// A run of each of the homes 1 to @p homes is rejected with a cooldown until second 3.
     void reject(std::uint64_t homes)
     {
         for (std::uint64_t home = 1; home <= homes; ++home) {
@@ -25,17 +25,17 @@
     }
 };
 
-TEST(Cooldowns, aRestIsAWordToOneHome)
+TEST(Cooldowns, anAdvertisedCooldownAppliesToOneHome)
 {
     reject(1);
     CHECK_FALSE(cooldowns.allows(at(2.9), 1));
     CHECK_TRUE(cooldowns.allows(at(2.9), 2));
     CHECK_TRUE(cooldowns.allows(at(3), 1));
-    CHECK_TRUE(cooldowns.isActive(at(2.9)));
-    CHECK_FALSE(cooldowns.isActive(at(3)));
+    CHECK_TRUE(cooldowns.restrictsAnyHome(at(2.9)));
+    CHECK_FALSE(cooldowns.restrictsAnyHome(at(3)));
 }
 
-TEST(Cooldowns, theLongestOfSeveralWordsHolds)
+TEST(Cooldowns, theLongestOfSeveralCooldownsApplies)
 {
     cooldowns.startFor(1, at(5));
     cooldowns.startFor(1, at(2));
@@ -43,17 +43,17 @@
     CHECK_TRUE(cooldowns.endFor(1) == at(5));
 }
 
-TEST(Cooldowns, whoTurnsAwayOneRequestAfterTheOtherRestsForAll)
+TEST(Cooldowns, severalRejectionsInARowStartACooldownForAllHomes)
 {
     reject(3);
-    CHECK_TRUE(cooldowns.coversAllHomes());
+    CHECK_TRUE(cooldowns.isFull());
     CHECK_FALSE(cooldowns.allowsAnyHome(at(2.9)));
     CHECK_FALSE(cooldowns.allows(at(2.9), 9));
     CHECK_TRUE(cooldowns.endFor(9) == at(3));
 }
 
-/// Guards against an endpoint that turns away all without a time, and by having nothing to do draws all.
-TEST(Cooldowns, whoTurnsAwayAllAndNamesNoTimeGetsOneThatGrows)
+/// Guards against an endpoint that rejects all runs without advertising a cooldown. It seems idle and would attract all runs.
+TEST(Cooldowns, withoutAnAdvertisedCooldownTheDefaultGrowsWithEachRejection)
 {
     cooldowns.recordRejection(at(0), 1);
     cooldowns.recordRejection(at(0), 2);
@@ -70,7 +70,7 @@
     CHECK_TRUE(cooldowns.allows(at(3), 9));
 }
 
-TEST(Cooldowns, aRunThatIsTakenEndsTheRow)
+TEST(Cooldowns, anAcceptedRunEndsTheRowOfRejections)
 {
     reject(2);
     cooldowns.recordAcceptance();
@@ -78,8 +78,8 @@
     CHECK_TRUE(cooldowns.allows(at(1), 9));
 }
 
-/// Guards against all homes' requests at once at an endpoint that is still full when its rest ends.
-TEST(Cooldowns, afterTheRestOneRunAtATimeFindsOut)
+/// Guards against a burst of runs from all homes at an endpoint that is still full when its cooldown ends.
+TEST(Cooldowns, afterTheCooldownOneRunAtATimeIsAllowed)
 {
     reject(3);
     CHECK_TRUE(cooldowns.allows(at(3), 9));
@@ -93,5 +93,5 @@
     cooldowns.recordAcceptance();
     CHECK_TRUE(cooldowns.allows(at(6.01), 8));
     cooldowns.removeExpired(at(6.1));
-    CHECK_FALSE(cooldowns.isActive(at(6.1)));
+    CHECK_FALSE(cooldowns.restrictsAnyHome(at(6.1)));
 }
--- a/Tests/Dispatch/fixtures.h
+++ b/Tests/Dispatch/fixtures.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// A small configuration and asks for tests of the dispatcher.
+/// A small configuration and helpers for tests of the dispatcher.
 
 #pragma once
 
@@ -29,7 +29,7 @@
 create endpoint e2 pool main address 127.0.0.1:2 slots 2
 )";
 
-/// The objects that @p statements make.
+/// Returns the configuration objects that @p statements create.
 inline Configuration::Objects objectsOf(const std::string &statements)
 {
     Configuration::Objects objects;
@@ -38,11 +38,13 @@
     return objects;
 }
 
+/// Returns the number of the object called @p name.
 inline std::uint32_t numberOf(const Configuration::Objects &objects, Configuration::Kind kind, std::string_view name)
 {
     return objects.find(kind, name)->number;
 }
 
+/// Returns the time point @p seconds after the start of a test.
 inline Base::Instant at(double seconds)
 {
     return Base::Instant(std::chrono::duration_cast<Base::Duration>(std::chrono::duration<double>(1000 + seconds)));
--- a/Tests/Dispatch/healthtest.cpp
+++ b/Tests/Dispatch/healthtest.cpp
@@ -32,7 +32,7 @@
     CHECK_FALSE(health.isSlow(std::nullopt));
 }
 
-TEST(Health, twoFailuresInARowAreFailing)
+TEST(Health, twoFailuresInARowAreAFailure)
 {
     health.observe(observation(20, true));
     CHECK_FALSE(health.isFailing());
@@ -40,7 +40,7 @@
     CHECK_TRUE(health.isFailing());
 }
 
-TEST(Health, ejectedReturnsThroughProbingAndEjectionsGrow)
+TEST(Health, anEjectedEndpointReturnsThroughProbingAndEjectionsGrow)
 {
     health.eject(at(0), std::chrono::seconds(30));
     health.tick(at(0.5));
@@ -78,7 +78,7 @@
     CHECK_EQUAL(1U, window.size());
 }
 
-TEST(Health, answeredErrorsAreFailingOnlyManyInARow)
+TEST(Health, errorResponsesAreAFailureOnlyAfterManyInARow)
 {
     Observation error = observation(20);
     error.errorResponse = true;
@@ -92,9 +92,9 @@
     CHECK_TRUE(health.isFailing());
 }
 
-/// Half of the answers of some engines were errors while their peers answered none: six errors in a row, which eject, come to
-/// such an engine once in 64 runs, and each error cost a retry of the few that there are.
-TEST(Health, halfErrorsBesidePeersWithoutAreErring)
+/// Guards against engines that respond with errors to half of their requests while others return none. Six errors in a row, which
+/// eject an endpoint, occur at such an engine only once in 64 runs, and each error uses up part of the small retry budget.
+TEST(Health, aMuchHigherShareOfErrorsThanThePeersIsDetected)
 {
     Observation error = observation(20);
     error.errorResponse = true;
@@ -107,7 +107,7 @@
     CHECK_FALSE(health.hasHighErrorShare(std::nullopt));
 }
 
-TEST(Health, errorsThatAllAnswerAlikeAreNotErring)
+TEST(Health, theSameShareOfErrorsAsThePeersIsAccepted)
 {
     Observation error = observation(20);
     error.errorResponse = true;
@@ -117,7 +117,7 @@
     }
 }
 
-TEST(Health, twoErrorsAreTooFewToTell)
+TEST(Health, twoResponsesAreTooFewForAShareOfErrors)
 {
     Observation error = observation(20);
     error.errorResponse = true;
--- a/Tests/Dispatch/ordertest.cpp
+++ b/Tests/Dispatch/ordertest.cpp
@@ -47,7 +47,7 @@
     CHECK_EQUAL(2, serve(0.6).parameters.rank);
 }
 
-TEST(Order, thoseThatCanStillMeetTheirTargetGoBeforeThoseThatCannot)
+TEST(Order, asksThatCanStillMeetTheirTargetGoBeforeLateOnes)
 {
     const QueuedAsk late = ask(1, 0);
     const QueuedAsk onTime = ask(1, 2);
@@ -97,7 +97,7 @@
     CHECK_TRUE(low >= 8 && low <= 11);
 }
 
-TEST(Order, victimIsOfTheLowestTierWithTheNearestDeadline)
+TEST(Order, theAskWithTheNearestDeadlineInTheLowestTierIsEvicted)
 {
     const QueuedAsk first = ask(3, 1);
     const QueuedAsk second = ask(3, 2);
@@ -120,7 +120,7 @@
     CHECK_EQUAL(0U, order.size());
 }
 
-TEST(Order, expiredNamesThosePastTheirDeadline)
+TEST(Order, expiredReturnsTheAsksPastTheirDeadline)
 {
     order.insert(ask(2, 0));
     order.insert(ask(1, 10));
--- a/Tests/Dispatch/placementtest.cpp
+++ b/Tests/Dispatch/placementtest.cpp
@@ -41,7 +41,7 @@
     }
 };
 
-TEST(SoonestFirstToken, promptsThatBeginAlikeGoToOneEngine)
+TEST(SoonestFirstToken, promptsWithASharedPrefixGoToOneEngine)
 {
     const std::uint32_t first = place(ask(7, 100), 0);
     for (std::uint64_t own = 101; own < 110; ++own) {
@@ -49,7 +49,7 @@
     }
 }
 
-TEST(SoonestFirstToken, anotherDispatcherSendsThemToTheSame)
+TEST(SoonestFirstToken, anotherDispatcherSelectsTheSameEngine)
 {
     SoonestFirstToken successor;
     for (std::uint64_t shared = 1; shared < 20; ++shared) {
@@ -58,7 +58,7 @@
     }
 }
 
-TEST(SoonestFirstToken, aLowerTierWaitsRatherThanHoldUpTheTierAbove)
+TEST(SoonestFirstToken, aLowerTierWaitsRatherThanDelayTheTierAbove)
 {
     for (std::uint64_t shared = 1; shared <= 3; ++shared) {
         for (Candidate &engine : engines) {
@@ -70,14 +70,14 @@
     CHECK_TRUE(placement.choose(ask(9, 9, 3), engines, at(20)).has_value());
 }
 
-TEST(SoonestFirstToken, runsLeaveRoomForKeptPromptsInMemory)
+TEST(SoonestFirstToken, activeRunsLeaveMemoryForCachedPrompts)
 {
     engines = {{1, 0, 64, 50'000}};
     place(ask(1, 1), 0);
     CHECK_FALSE(placement.choose(ask(2, 2, 2), engines, at(5)).has_value());
 }
 
-TEST(SoonestFirstToken, whatIsExpectedGrowsWithTheWorkBefore)
+TEST(SoonestFirstToken, theExpectedFirstTokenGrowsWithTheBacklog)
 {
     const Base::Duration idle = placement.expectedFirstToken(ask(5, 5), engines, at(0));
     for (const Candidate &engine : engines) {
@@ -86,7 +86,7 @@
     CHECK_TRUE(placement.expectedFirstToken(ask(5, 5), engines, at(0)) > idle);
 }
 
-TEST(SoonestFirstToken, whatGaveWayInMemoryCountsAsUnread)
+TEST(SoonestFirstToken, evictedPromptsNeedAPrefill)
 {
     engines = {{1, 0, 64, 60'000}};
     const PlacedRun first = placement.recordPlacement(ask(1, 100), engines.front(), at(0));
@@ -98,7 +98,7 @@
     CHECK_EQUAL(17'000U, placement.recordPlacement(ask(1, 110), engines.front(), at(3)).prefillTokens);
 }
 
-TEST(SoonestFirstToken, partsThatSumToMoreThanThePromptTakeNoMoreThanItsMemory)
+TEST(SoonestFirstToken, wrongPartLengthsDoNotCountMoreMemoryThanThePrompt)
 {
     QueuedAsk malformed = ask(1, 1);
     malformed.ask.prefixTokens = {90'000, 4'000'000'000U};
@@ -109,7 +109,7 @@
     CHECK_TRUE(placement.choose(malformed, engines, at(5)).has_value());
 }
 
-TEST(SoonestFirstToken, whatAnEndedRunLeftUnreadIsNotWaitedFor)
+TEST(SoonestFirstToken, theRemainingPrefillOfAnEndedRunIsNotExpected)
 {
     const Base::Duration idle = placement.expectedFirstToken(ask(5, 500), engines, at(0));
     std::vector<PlacedRun> runs;
@@ -124,8 +124,8 @@
     CHECK_TRUE(placement.expectedFirstToken(ask(5, 500, 2), engines, at(0.01)) == idle);
 }
 
-/// Engines that can take kept prompts from each other.
-TEST_GROUP_BASE(MovingPrompts,
+/// Engines that can fetch cached prompts from each other.
+TEST_GROUP_BASE(PromptTransfers,
                 TEST_GROUP_CppUTestGroupSoonestFirstToken) {void setup() override {for (Candidate & engine
                                                                                         : engines) {engine.movedTokensPerMs = 300;
 }
@@ -134,29 +134,29 @@
 }
 ;
 
-TEST(MovingPrompts, anEngineTakesASharedPartFromTheOneThatKeepsIt)
+TEST(PromptTransfers, anEngineFetchesASharedPartFromItsKeeper)
 {
     const PlacedRun run = placement.recordPlacement(ask(1, 101), engines[1], at(5));
     CHECK_EQUAL(1U, run.keeper);
     CHECK_EQUAL(4'000U, run.prefillTokens);
-    // What it has taken it keeps as well, and lends.
+    // The engine caches what it has fetched, and others can fetch it from there.
     CHECK_EQUAL(0U, placement.recordPlacement(ask(1, 102), engines[1], at(10)).keeper);
     placement.removeEndpoint(1);
     CHECK_EQUAL(2U, placement.recordPlacement(ask(1, 103), engines[2], at(15)).keeper);
 }
 
-TEST(MovingPrompts, nothingIsTakenBeforeItHasBeenRead)
+TEST(PromptTransfers, nothingIsFetchedBeforeItsPrefillIsComplete)
 {
     CHECK_EQUAL(0U, placement.recordPlacement(ask(1, 101), engines[1], at(0.01)).keeper);
 }
 
-TEST(MovingPrompts, nothingIsTakenFromAnEngineThatFailsOrLeaves)
+TEST(PromptTransfers, nothingIsFetchedFromAnUnreliableEngine)
 {
     placement.markUnreliable(1);
     CHECK_EQUAL(0U, placement.recordPlacement(ask(1, 101), engines[1], at(5)).keeper);
 }
 
-TEST(MovingPrompts, aRunThatDidWellSinceWinsTrustBackAndAnEarlierOneDoesNot)
+TEST(PromptTransfers, onlyASuccessfulRunPlacedLaterMakesAnEngineReliableAgain)
 {
     const PlacedRun before = placement.recordPlacement(ask(1, 100), engines[0], at(1));
     placement.markUnreliable(1);
@@ -166,11 +166,11 @@
     CHECK_EQUAL(1U, placement.recordPlacement(ask(1, 103), engines[2], at(10)).keeper);
 }
 
-TEST(MovingPrompts, whatIsTakenNeedsRoomInMemory)
+TEST(PromptTransfers, fetchedPromptsNeedMemory)
 {
     engines = {{1, 0, 64, 500'000, 300}, {2, 0, 64, 40'000, 300}};
     placement.recordPlacement(ask(2, 200), engines[1], at(5));
-    // 17,100 of at most 30,000 tokens are taken up there; the first part alone has 13,000.
+    // Engine 2 uses 17,100 of at most 30,000 tokens; the shared part alone has 13,000.
     QueuedAsk more = ask(1, 101);
     more.ask.expectedTokens = 50;
     CHECK_EQUAL(1U, placement.choose(more, engines, at(10)).value());
@@ -178,7 +178,7 @@
     CHECK_FALSE(placement.choose(more, engines, at(10)).has_value());
 }
 
-TEST(MovingPrompts, whatIsReadSoonerThanMovedIsRead)
+TEST(PromptTransfers, aPromptIsNotFetchedIfAPrefillIsFaster)
 {
     for (Candidate &engine : engines) {
         engine.movedTokensPerMs = 10;
@@ -188,7 +188,7 @@
     CHECK_EQUAL(0U, placement.recordPlacement(ask(1, 101), engines[1], at(5)).keeper);
 }
 
-TEST(MovingPrompts, thoseThatShareAPartNeedNotQueueWhereItIsKept)
+TEST(PromptTransfers, promptsWithASharedPartUseSeveralEngines)
 {
     std::set<std::uint32_t> used;
     for (std::uint64_t own = 200; own < 206; ++own) {
@@ -197,8 +197,8 @@
     CHECK_EQUAL(3U, used.size());
 }
 
-/// Engines whose streams are allowed short pauses, and where long ones have been seen.
-TEST_GROUP_BASE(PausesOfStreams,
+/// Engines with streams that allow only short pauses, where long pauses have been observed.
+TEST_GROUP_BASE(StreamPauses,
                 TEST_GROUP_CppUTestGroupSoonestFirstToken) {QueuedAsk tight(std::uint64_t own) {QueuedAsk made = ask(own, own);
 made.ask.promptTokens = 100;
 made.ask.prefixTokens = {50, 100};
@@ -206,56 +206,56 @@
 return made;
 }
 
-QueuedAsk longRead(std::uint64_t own)
+QueuedAsk longPrefill(std::uint64_t own)
 {
     QueuedAsk made = ask(own, own);
     made.parameters.tokenGap = std::chrono::seconds(5);
     return made;
 }
 
-/// Shows on @p engine that reading makes pauses of half a second.
-void showPauses(const Candidate &engine, double now)
+/// Adds observations of @p engine in which a prefill causes pauses of half a second.
+void observePauses(const Candidate &engine, double now)
 {
     const PlacedRun run = placement.recordPlacement(tight(50), engine, at(now));
-    placement.recordEnd(placement.recordPlacement(longRead(51), engine, at(now)), {});
+    placement.recordEnd(placement.recordPlacement(longPrefill(51), engine, at(now)), {});
     placement.recordEnd(run, {std::chrono::milliseconds(10), {std::chrono::milliseconds(20), std::chrono::milliseconds(500)}});
 }
 }
 ;
 
-TEST(PausesOfStreams, aLongReadGoesWhereNoTightStreamRuns)
+TEST(StreamPauses, aLongPrefillGoesToAnEngineWithoutTightStreams)
 {
-    showPauses(engines[0], 0);
+    observePauses(engines[0], 0);
     for (std::uint64_t own = 60; own < 63; ++own) {
         placement.recordPlacement(tight(own), engines[0], at(60));
         placement.recordPlacement(tight(own), engines[1], at(60));
     }
     for (std::uint64_t own = 70; own < 90; ++own) {
-        CHECK_EQUAL(3U, placement.choose(longRead(own), engines, at(70)).value());
+        CHECK_EQUAL(3U, placement.choose(longPrefill(own), engines, at(70)).value());
     }
 }
 
-TEST(PausesOfStreams, aTightStreamGoesWhereLittleWasReadLately)
+TEST(StreamPauses, aTightStreamGoesToAnEngineWithLittleRecentPrefill)
 {
-    showPauses(engines[0], 0);
-    placement.recordPlacement(longRead(52), engines[0], at(60));
-    placement.recordPlacement(longRead(53), engines[1], at(60));
+    observePauses(engines[0], 0);
+    placement.recordPlacement(longPrefill(52), engines[0], at(60));
+    placement.recordPlacement(longPrefill(53), engines[1], at(60));
     for (std::uint64_t own = 70; own < 90; ++own) {
         CHECK_EQUAL(3U, placement.choose(tight(own), engines, at(61)).value());
     }
 }
 
-TEST(PausesOfStreams, withoutPausesSeenLongReadsGoToAllEngines)
+TEST(StreamPauses, withoutObservedPausesLongPrefillsGoToAllEngines)
 {
     std::set<std::uint32_t> used;
     placement.recordPlacement(tight(60), engines[0], at(60));
     for (std::uint64_t own = 70; own < 90; ++own) {
-        used.insert(placement.choose(longRead(own), engines, at(70)).value());
+        used.insert(placement.choose(longPrefill(own), engines, at(70)).value());
     }
     CHECK_EQUAL(3U, used.size());
 }
 
-TEST(SoonestFirstToken, aSlowEngineIsExpectedToReadForLonger)
+TEST(SoonestFirstToken, aSlowEngineHasALongerExpectedPrefill)
 {
     const std::span<const Candidate> all(engines);
     const auto expectedAt = [&](std::size_t index, std::uint64_t own) {
--- a/Tests/Dispatch/prefillpausestest.cpp
+++ b/Tests/Dispatch/prefillpausestest.cpp
@@ -29,8 +29,8 @@
         return std::chrono::milliseconds(milliseconds);
     }
 
-    /// A run of a tight stream that saw @p longest while the engine read for @p burst.
-    void seen(Base::Duration burst, Base::Duration longest)
+    /// Adds a stream with the longest pause @p longest that ended after a prefill of @p burst.
+    void observe(Base::Duration burst, Base::Duration longest)
     {
         pauses.addStream(tight);
         pauses.recordPrefill(at(1), {}, burst);
@@ -38,7 +38,7 @@
     }
 };
 
-TEST(PrefillPauses, aLongReadMakesTightStreamsLateAndLooseOnesNot)
+TEST(PrefillPauses, aLongPrefillMakesTightStreamsLateButNotLooseOnes)
 {
     pauses.addStream(tight);
     pauses.addStream(tight);
@@ -48,10 +48,10 @@
     DOUBLES_EQUAL(3.0, pauses.expectedNewlyLate({}, ms(2000)), 0.001);
 }
 
-TEST(PrefillPauses, whatIsLateAlreadyIsNotLostAgain)
+TEST(PrefillPauses, aStreamThatIsLateIsNotCountedAgain)
 {
     pauses.addStream(tight);
-    // What is being read makes it late, whether more is read or not.
+    // The present prefill makes the stream late already, whatever is added to it.
     DOUBLES_EQUAL(0.0, pauses.expectedNewlyLate(ms(400), ms(800)), 0.001);
     pauses.recordPrefill(at(0), {}, ms(400));
     DOUBLES_EQUAL(0.0, pauses.expectedNewlyLate({}, ms(400)), 0.001);
@@ -69,7 +69,7 @@
     DOUBLES_EQUAL(0.0, pauses.expectedNewlyLate({}, ms(400)), 0.001);
 }
 
-TEST(PrefillPauses, anEngineThatReadMuchLatelyIsARiskForTightStreams)
+TEST(PrefillPauses, recentLongPrefillsMakeTightStreamsLikelyLate)
 {
     DOUBLES_EQUAL(0.0, pauses.lateProbability(tight, at(0)), 0.001);
     pauses.recordPrefill(at(0), {}, ms(400));
@@ -78,41 +78,41 @@
     DOUBLES_EQUAL(0.0, pauses.lateProbability(tight, at(20)), 0.001);
 }
 
-TEST(PrefillPauses, pausesThatStayShortWhileMuchIsReadShowThatReadingDoesNoHarm)
+TEST(PrefillPauses, shortPausesDuringLongPrefillsLowerTheEstimate)
 {
     for (int run = 0; run < 20; ++run) {
-        seen(ms(1000), ms(100));
+        observe(ms(1000), ms(100));
     }
     pauses.addStream(tight);
     DOUBLES_EQUAL(0.0, pauses.expectedNewlyLate({}, ms(1000)), 0.001);
 }
 
-TEST(PrefillPauses, beforeAnyPauseWasSeenNoneIsFeared)
+TEST(PrefillPauses, withoutObservationsNoStreamIsExpectedToBeLate)
 {
     PrefillPauses unknown;
     unknown.addStream(tight);
     DOUBLES_EQUAL(0.0, unknown.expectedNewlyLate({}, ms(1000)), 0.001);
 }
 
-TEST(PrefillPauses, whatTheirPoolHasShownCountsForEnginesThatHaveShownNothing)
+TEST(PrefillPauses, theEstimateOfThePoolIsUsedUntilTheEngineHasObservations)
 {
     pauses.addStream(tight);
     DOUBLES_EQUAL(1.0, pauses.expectedNewlyLate({}, ms(400)), 0.001);
-    seen(ms(1000), ms(100));
+    observe(ms(1000), ms(100));
     DOUBLES_EQUAL(0.0, pauses.expectedNewlyLate({}, ms(400)), 0.001);
 }
 
-TEST(PrefillPauses, pausesWithoutReadingTellNothingOfIt)
+TEST(PrefillPauses, pausesWithoutPrefillDoNotChangeTheEstimate)
 {
     for (int run = 0; run < 20; ++run) {
-        seen(ms(10), ms(3000));
+        observe(ms(10), ms(3000));
     }
     pauses.addStream(tight);
     DOUBLES_EQUAL(1.0, pauses.expectedNewlyLate({}, ms(400)), 0.001);
     DOUBLES_EQUAL(0.0, pauses.expectedNewlyLate({}, ms(50)), 0.001);
 }
 
-TEST(PrefillPauses, runsWithoutTargetForPausesAreNeverLateByOne)
+TEST(PrefillPauses, streamsWithoutALimitAreNeverLate)
 {
     pauses.addStream({});
     DOUBLES_EQUAL(0.0, pauses.expectedNewlyLate({}, ms(5000)), 0.001);
--- a/Tests/Dispatch/randomtest.cpp
+++ b/Tests/Dispatch/randomtest.cpp
@@ -2,9 +2,9 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Long seeded runs of homes and dispatchers over a network that loses, delays, doubles and reorders messages, while
-/// dispatchers change and homes die. The decision code itself asserts its invariants; here it is checked that every request
-/// ends exactly once, and that nothing unrepeatable runs twice.
+/// Long seeded simulations of homes and dispatchers. The network loses, delays, duplicates and reorders messages, while
+/// dispatchers change and homes restart. The code under test checks its own invariants; the test checks that every request ends
+/// exactly once and that an unrepeatable request runs at most once.
 
 #include "Dispatch/dispatcher.h"
 #include "Request/home.h"
@@ -30,11 +30,11 @@
 constexpr Base::Duration stepTime = std::chrono::milliseconds(10);
 constexpr int hosts = 4;
 
-/// The network, the endpoints and the hosts of one run.
-class World
+/// The network, the endpoints and the hosts of one simulation.
+class Simulation
 {
 public:
-    explicit World(std::uint64_t seed)
+    explicit Simulation(std::uint64_t seed)
         : m_random(seed)
     {
         std::string statements(Tests::threeTiers);
@@ -47,27 +47,27 @@
             m_hosts.emplace(m_members.back().name, makeHost(m_members.back()));
         }
         for (const Member &member : m_members) {
-            showView(member.name);
+            refreshView(member.name);
         }
     }
 
     void step()
     {
         m_now += stepTime;
-        if (chance(0.3)) {
-            arrive();
+        if (occurs(0.3)) {
+            startRequest();
         }
-        if (chance(0.002)) {
+        if (occurs(0.002)) {
             restart(name());
         }
-        if (chance(0.01)) {
-            // Views differ for a while: only some hosts learn of a change at once.
+        if (occurs(0.01)) {
+            // The hosts' views differ for a while, since only some hosts get a change at once.
             changeState(name());
         }
-        if (chance(0.05)) {
-            showView(name());
+        if (occurs(0.05)) {
+            refreshView(name());
         }
-        if (chance(0.01)) {
+        if (occurs(0.01)) {
             m_now += std::chrono::milliseconds(m_random() % 500);
         }
         deliver();
@@ -79,15 +79,15 @@
         }
     }
 
-    /// Lets everything under way end.
+    /// Disables the faults and continues until all requests have ended, for at most 6000 steps.
     void settle()
     {
         for (Member &member : m_members) {
             member.state = MemberState::Alive;
         }
-        m_quiet = true;
+        m_faultsDisabled = true;
         for (const Member &member : m_members) {
-            showView(member.name);
+            refreshView(member.name);
         }
         for (int index = 0; index < 6000 && !m_open.empty(); ++index) {
             m_now += stepTime;
@@ -117,7 +117,7 @@
     }
 
 private:
-    using Request = std::pair<std::uint64_t, std::uint64_t>; ///< incarnation and number
+    using Request = std::pair<std::uint64_t, std::uint64_t>; ///< incarnation of the home and number of the request
 
     struct Host
     {
@@ -126,7 +126,7 @@
         std::unique_ptr<Yokepond::Request::Home> home;
     };
 
-    struct Flying
+    struct MessageInTransit
     {
         Base::Instant due {};
         std::string to;
@@ -149,7 +149,7 @@
         return {member, std::move(dispatcher), std::move(home)};
     }
 
-    bool chance(double probability)
+    bool occurs(double probability)
     {
         return std::uniform_real_distribution<double>()(m_random) < probability;
     }
@@ -159,7 +159,7 @@
         return m_members[m_random() % m_members.size()].name;
     }
 
-    void arrive()
+    void startRequest()
     {
         static constexpr std::array classes = {"alert", "desk", "routine", "once"};
         const std::string host = name();
@@ -181,11 +181,11 @@
         member->incarnation += 1000;
         member->state = MemberState::Alive;
         entry = makeHost(*member);
-        for (auto &[other, theirs] : m_hosts) {
-            theirs.dispatcher->removeHome(m_now, host, member->incarnation);
+        for (auto &[other, otherHost] : m_hosts) {
+            otherHost.dispatcher->removeHome(m_now, host, member->incarnation);
             collect(other);
         }
-        showView(host);
+        refreshView(host);
     }
 
     void changeState(const std::string &host)
@@ -193,10 +193,10 @@
         Member &member = *std::ranges::find(m_members, host, &Member::name);
         static constexpr std::array states = {MemberState::Alive, MemberState::Suspect, MemberState::Leaving};
         member.state = states.at(m_random() % states.size());
-        showView(name());
+        refreshView(name());
     }
 
-    void showView(const std::string &host)
+    void refreshView(const std::string &host)
     {
         const auto shards = std::make_shared<Dispatch::ShardMap>(*m_catalogue, m_members);
         Host &entry = m_hosts.at(host);
@@ -207,20 +207,20 @@
 
     void send(const std::string &from, const std::string &to, const Peer::Message &message)
     {
-        if (from != to && !m_quiet && chance(0.03)) {
+        if (from != to && !m_faultsDisabled && occurs(0.03)) {
             m_hosts.at(from).home->memberLost(m_now, to);
             return;
         }
-        const int copies = from != to && !m_quiet && chance(0.02) ? 2 : 1;
+        const int copies = from != to && !m_faultsDisabled && occurs(0.02) ? 2 : 1;
         for (int copy = 0; copy < copies; ++copy) {
             const Base::Duration delay = from == to
                 ? Base::Duration::zero()
-                : Base::Duration(static_cast<std::int64_t>(m_random() % (chance(0.02) ? 3'000'000 : 20'000)));
-            m_flying.push_back({m_now + delay, to, {from, m_hosts.at(from).self.incarnation}, message});
+                : Base::Duration(static_cast<std::int64_t>(m_random() % (occurs(0.02) ? 3'000'000 : 20'000)));
+            m_inTransit.push_back({m_now + delay, to, {from, m_hosts.at(from).self.incarnation}, message});
         }
     }
 
-    /// Takes out what is due by now, in order.
+    /// Removes and returns the events that are due, in their present order.
     template<typename Event>
     std::vector<Event> takeDue(std::vector<Event> &events) const
     {
@@ -232,18 +232,18 @@
 
     void deliver()
     {
-        for (const Flying &flying : takeDue(m_flying)) {
-            Host &host = m_hosts.at(flying.to);
+        for (const MessageInTransit &inTransit : takeDue(m_inTransit)) {
+            Host &host = m_hosts.at(inTransit.to);
             std::visit(
                 [&](const auto &message) {
-                    if constexpr (requires { host.dispatcher->receive(m_now, flying.from, message); }) {
-                        host.dispatcher->receive(m_now, flying.from, message);
-                    } else if constexpr (requires { host.home->receive(m_now, flying.from.name, message); }) {
-                        host.home->receive(m_now, flying.from.name, message);
+                    if constexpr (requires { host.dispatcher->receive(m_now, inTransit.from, message); }) {
+                        host.dispatcher->receive(m_now, inTransit.from, message);
+                    } else if constexpr (requires { host.home->receive(m_now, inTransit.from.name, message); }) {
+                        host.home->receive(m_now, inTransit.from.name, message);
                     }
                 },
-                flying.message);
-            collect(flying.to);
+                inTransit.message);
+            collect(inTransit.to);
         }
     }
 
@@ -251,7 +251,7 @@
     {
         Host &entry = m_hosts.at(host);
         for (const Dispatch::Reply &reply : entry.dispatcher->takeReplies()) {
-            // A reply to a home that has restarted goes to its successor, which does not know the request.
+            // A reply to a home that has restarted goes to its new incarnation, which does not have the request.
             send(host, reply.home.name, reply.message);
         }
         for (const Yokepond::Request::Action &action : entry.home->takeActions()) {
@@ -306,7 +306,7 @@
     std::shared_ptr<const Configuration::Catalogue> m_catalogue;
     std::vector<Member> m_members;
     std::map<std::string, Host> m_hosts;
-    std::vector<Flying> m_flying;
+    std::vector<MessageInTransit> m_inTransit;
     std::vector<Run> m_running;
     std::set<Request> m_open;
     std::set<Request> m_ran;
@@ -315,25 +315,25 @@
     std::uint64_t m_nextRequest = 1;
     std::uint64_t m_ended = 0;
     std::uint64_t m_runs = 0;
-    bool m_quiet = false;
+    bool m_faultsDisabled = false;
 };
 
 } // namespace
 
 TEST_GROUP(Random) {};
 
-TEST(Random, everyRequestEndsOnceAndNothingUnrepeatableRunsTwice)
+TEST(Random, everyRequestEndsOnceAndUnrepeatableRequestsRunAtMostOnce)
 {
     const char *given = std::getenv("YOKEPOND_SEED");
     const std::uint64_t first = given == nullptr ? 1 : std::strtoull(given, nullptr, 10);
     for (std::uint64_t seed = first; seed < first + 4; ++seed) {
-        World world(seed);
+        Simulation simulation(seed);
         for (int index = 0; index < steps; ++index) {
-            world.step();
+            simulation.step();
         }
-        world.settle();
-        fmt::print("seed {}: {} steps, {} requests ended, {} runs\n", seed, steps, world.recordEnd(), world.runs());
-        CHECK_EQUAL(0U, world.open());
-        CHECK_TRUE(world.recordEnd() > 1000);
+        simulation.settle();
+        fmt::print("seed {}: {} steps, {} requests ended, {} runs\n", seed, steps, simulation.recordEnd(), simulation.runs());
+        CHECK_EQUAL(0U, simulation.open());
+        CHECK_TRUE(simulation.recordEnd() > 1000);
     }
 }
--- a/Tests/Dispatch/shardmaptest.cpp
+++ b/Tests/Dispatch/shardmaptest.cpp
@@ -51,7 +51,7 @@
     }
 }
 
-TEST(ShardMap, anEndpointThatGoesMovesFewOthers)
+TEST(ShardMap, removingAnEndpointMovesFewOthers)
 {
     const ShardMap before(*catalogue, members);
     std::string statements = "create pool main\ncreate setting shard-size value 8\n";
@@ -74,7 +74,7 @@
     CHECK_TRUE(moved <= 57 / 4);
 }
 
-TEST(ShardMap, dispatchersAreOfTheShardsDataCentre)
+TEST(ShardMap, theDispatcherIsInTheDataCentreOfTheShard)
 {
     const ShardMap map(*catalogue, members);
     for (const ShardInfo &shard : map.shards()) {
@@ -83,7 +83,7 @@
     }
 }
 
-TEST(ShardMap, dispatchersAreThoseWithTheMostProcessorOfTheirDataCentre)
+TEST(ShardMap, hostsWithTheMostProcessorBecomeDispatchers)
 {
     for (Member &member : members) {
         member.milliCores = member.name < "h3" ? 500 : 120;
@@ -94,14 +94,14 @@
     }
 }
 
-TEST(ShardMap, aHostThatGoesMovesOnlyItsOwnShards)
+TEST(ShardMap, removingAHostMovesOnlyItsOwnShards)
 {
     const ShardMap before(*catalogue, members);
-    const std::string gone = before.shards().front().dispatcher;
-    std::erase_if(members, [&](const Member &member) { return member.name == gone; });
+    const std::string removed = before.shards().front().dispatcher;
+    std::erase_if(members, [&](const Member &member) { return member.name == removed; });
     const ShardMap after(*catalogue, members);
     for (const ShardInfo &shard : before.shards()) {
-        if (shard.dispatcher != gone) {
+        if (shard.dispatcher != removed) {
             STRCMP_EQUAL(shard.dispatcher.c_str(), after.find(shard.id)->dispatcher.c_str());
         }
     }
@@ -116,7 +116,7 @@
     }
 }
 
-TEST(ShardMap, anotherDataCentreTakesOverWhenAllOfOneAreGone)
+TEST(ShardMap, anotherDataCentreTakesOverWhenAllHostsOfOneAreRemoved)
 {
     std::erase_if(members, [](const Member &member) { return member.dataCentre == "d0"; });
     const ShardMap map(*catalogue, members);
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The shards of a pool of @p endpoints.
+    /// Returns the number of shards of a pool with @p endpoints endpoints.
     std::size_t shardsOf(int endpoints) const
     {
         std::string statements = "create pool main\n";
@@ -156,14 +156,15 @@
     CHECK_EQUAL(1U, shardsOf(320));
 }
 
-TEST(ShardSize, aPoolBeyondThatIsDivided)
+TEST(ShardSize, aLargerPoolIsDivided)
 {
     CHECK_EQUAL(2U, shardsOf(600));
 }
 
-/// With one shard beyond 358 endpoints, 320 engines were one shard, and two while 126 that had crashed were still listed beside
-/// those that took their places: twice in seconds half of what the dispatchers knew was lost.
-TEST(ShardSize, endpointsThatAreListedTwiceForAWhileDivideNothing)
+/// Guards against dispatchers that lose half of their state when many endpoints crash. When a pool was divided above 358
+/// endpoints, 320 engines were one shard, but two shards while 126 crashed engines were still listed beside their replacements.
+/// Within seconds half of the dispatchers' state was lost twice.
+TEST(ShardSize, replacementsListedBesideCrashedEndpointsDoNotDivideThePool)
 {
     CHECK_EQUAL(shardsOf(320), shardsOf(446));
     CHECK_EQUAL(shardsOf(600), shardsOf(840));
@@ -175,14 +176,14 @@
     CHECK_TRUE(shardsOf(600) > 2);
 }
 
-TEST(ShardSize, hostsThatAreMerelySmallerDoNotChangeIt)
+TEST(ShardSize, smallHostsBesideLargeOnesDoNotChangeTheShards)
 {
     const std::size_t before = shardsOf(320);
     std::erase_if(members, [](const Member &member) { return member.milliCores == 120; });
     CHECK_EQUAL(before, shardsOf(320));
 }
 
-TEST(ShardSize, withoutKnowledgeOfProcessorsShardsStaySmall)
+TEST(ShardSize, withoutProcessorInformationShardsStaySmall)
 {
     for (Member &member : members) {
         member.milliCores = 0;
--- a/Tests/Dispatch/shardtest.cpp
+++ b/Tests/Dispatch/shardtest.cpp
@@ -78,7 +78,7 @@
     }
 };
 
-TEST(Shard, grantsUpToTheWindowsAndThenAsRoomComes)
+TEST(Shard, grantsUpToTheWindowsAndThenAsSlotsBecomeFree)
 {
     for (int index = 0; index < 6; ++index) {
         ask("alert", 0);
@@ -115,7 +115,8 @@
     ask("desk", 0.1);
     ask("alert", 0.1);
     CHECK_EQUAL(3U, replies<Peer::Refusal>().size());
-    // Only higher tiers are left: a newcomer of the lowest is refused at once, one of the highest displaces the middle one.
+    // Only higher tiers are left: a new ask of the lowest tier is refused at once, one of the highest evicts that of the middle
+    // tier.
     const auto routine = ask("routine", 0.2);
     CHECK_TRUE(replies<Peer::Refusal>().front().id == routine);
     ask("alert", 0.2);
@@ -124,7 +125,7 @@
     CHECK_TRUE(refused.front().retryAfter > Base::Duration::zero());
 }
 
-TEST(Shard, whatPassesItsDeadlineIsRefusedAtOnce)
+TEST(Shard, anAskPastItsDeadlineIsRefusedAtTheNextTick)
 {
     for (int index = 0; index < 5; ++index) {
         ask("alert", 0);
@@ -136,7 +137,7 @@
     CHECK_TRUE(refused.front().reason == RefusalReason::DeadlinePassed);
 }
 
-TEST(Shard, drainedEndpointGetsNothingNew)
+TEST(Shard, drainedEndpointGetsNoNewRuns)
 {
     const auto mutations = Language::plan(objects, *Language::parseCommands("drain endpoint e1"));
     objects.apply({2, "id", 0, "test", "", *mutations});
@@ -149,7 +150,7 @@
     }
 }
 
-TEST(Shard, endpointThatThePlatformListsAsLeavingGetsNothingNew)
+TEST(Shard, endpointThatThePlatformListsAsLeavingGetsNoNewRuns)
 {
     shard->setLeaving(at(0), {endpoint("e2")});
     for (int index = 0; index < 4; ++index) {
@@ -160,7 +161,7 @@
     }
 }
 
-TEST(Shard, deadHomesPermitsAndAsksAreDropped)
+TEST(Shard, permitsAndAsksOfALostHomeAreDropped)
 {
     for (int index = 0; index < 5; ++index) {
         ask("alert", 0);
@@ -179,19 +180,19 @@
     CHECK_EQUAL(1U, shard->permits());
 }
 
-TEST(Shard, reportRebuildsPermitsAndGivesUpLostReleases)
+TEST(Shard, reportRebuildsPermitsAndDropsThoseWhoseReleaseWasLost)
 {
     const auto id = ask("alert", 0);
     replies<Peer::Grant>();
     shard->report(at(1), home, {1, {{{99, 1}, endpoint("e1"), Tests::numberOf(objects, Kind::Class, "alert")}}});
     CHECK_EQUAL(2U, shard->permits());
-    // The first grant is young enough to be on its way still; later a report without it gives it up.
+    // The first grant is recent and may still be on its way. A later report that does not list it drops it.
     shard->report(at(4), home, {1, {{{99, 1}, endpoint("e1"), 1}}});
     CHECK_EQUAL(1U, shard->permits());
     CHECK_EQUAL(0U, shard->find({7, id}).endpoint);
 }
 
-TEST(Shard, handOverTellsEveryQueuedAsk)
+TEST(Shard, handOverRefusesEveryQueuedAsk)
 {
     for (int index = 0; index < 6; ++index) {
         ask("alert", 0);
@@ -211,7 +212,7 @@
     const auto granted = replies<Peer::Grant>();
     const auto middle = ask("desk", 0);
     const auto low = ask("routine", 0);
-    // The lowest class is raised above the other, which waits longer.
+    // The lowest class is raised above the other, whose ask has waited longer.
     const auto mutations = Language::plan(objects, *Language::parseCommands("set class routine tier high"));
     objects.apply({2, "id", 0, "test", "", *mutations});
     shard->configure(info(), Configuration::Catalogue::build(objects), at(0.1));
@@ -222,7 +223,7 @@
     CHECK_TRUE(order[1].id == middle);
 }
 
-TEST(Shard, deletedClassLosesNoWaitingAsk)
+TEST(Shard, deletingAClassKeepsItsQueuedAsks)
 {
     for (int index = 0; index < 4; ++index) {
         ask("alert", 0);
@@ -243,14 +244,14 @@
     }
     const auto granted = replies<Peer::Grant>();
     release(granted.front(), 3);
-    // It waited 3 s here, so that the run may start until 5 s after the home sent the ask.
+    // The ask was queued for 3 s here, so the run may start until 5 s after the home sent it.
     CHECK_TRUE(replies<Peer::Grant>().front().startBy == at(5));
 }
 
-/// Engines that crashed were listed for some seconds, and others at their addresses rejected what was meant for them. They had
-/// the least to do of all, so that each drew up to 90 requests; a class that allows one send then failed. A rejection changed
-/// nothing at the dispatcher, since an engine that is full rejects too.
-TEST(Shard, anEndpointWhoseAddressAnotherHasGetsNothingMore)
+/// Guards against grants for crashed engines. The platform listed them for some more seconds, and the engines that had taken over
+/// their addresses rejected their requests. They seemed to have the lowest load, so each attracted up to 90 requests, which
+/// failed if their class allows only one run. The dispatcher ignored a rejection, since full engines also reject requests.
+TEST(Shard, aReplacedEndpointGetsNoMoreRuns)
 {
     ask("alert", 0);
     const auto granted = replies<Peer::Grant>();
@@ -265,7 +266,7 @@
     }
 }
 
-TEST(Shard, anEndpointThatIsMerelyFullGetsMore)
+TEST(Shard, aFullEndpointGetsMoreRuns)
 {
     ask("alert", 0);
     release(replies<Peer::Grant>().front(), 0.1, Peer::RunResult::Refused);
@@ -275,7 +276,7 @@
     CHECK_EQUAL(4U, replies<Peer::Grant>().size());
 }
 
-TEST(Shard, withAllEndpointsGoneAsksGoElsewhere)
+TEST(Shard, withAllEndpointsReplacedAsksAreRefused)
 {
     ask("alert", 0);
     ask("alert", 0);
@@ -288,13 +289,13 @@
     CHECK_TRUE(replies<Peer::Refusal>().front().reason == RefusalReason::NoEndpoint);
 }
 
-/// The load of a burst: many more long prompts come than the engines can read, while all have places for more runs. Ninety
-/// engines with 64 places each read some 36 tokens in a millisecond, a prompt of 17,020 tokens takes them half a second, and
-/// callers ask for ten times as many as can be read: the shifted deployment's figures as its operators state them.
+/// The load of a burst: many more long prompts arrive than the engines can prefill, while all engines have free slots. Ninety
+/// engines with 64 slots each prefill about 36 tokens per millisecond, so a prompt of 17,020 tokens takes half a second. Callers
+/// send ten times as many prompts as the engines can prefill. The figures are those of the operators of the shifted deployment.
 TEST_GROUP(ShardInABurst)
 {
     static constexpr std::size_t engines = 90;
-    static constexpr std::size_t waitingAsks = 300;
+    static constexpr std::size_t queueLength = 300;
     Configuration::Objects objects;
     std::unique_ptr<Shard> shard;
     Home home {"h1", 7};
@@ -329,7 +330,7 @@
         made.requestClass = Tests::numberOf(objects, Kind::Class, name);
         made.remaining = std::chrono::seconds(12);
         made.promptTokens = name == "long" ? 17'020 : 1460;
-        // No two share anything, so that each has to be read.
+        // No two prompts share a prefix, so each needs a full prefill.
         made.prefix = {next * 2, next * 2 + 1};
         made.prefixTokens = {made.promptTokens / 2, made.promptTokens};
         made.sentAt = at(now);
@@ -348,7 +349,7 @@
 
     void fillQueue(double now)
     {
-        while (shard->queued() < waitingAsks) {
+        while (shard->queued() < queueLength) {
             ask("long", now);
         }
     }
@@ -363,24 +364,25 @@
     }
 };
 
-/// What waits for the engines to read on is looked at a few times an event, however many wait: when it was up to 24, the
-/// dispatcher of 90 engines ran out of processor in such a burst, and half of what it could have placed was late.
-TEST(ShardInABurst, whatWaitsCostsFewLooksAnEvent)
+/// Guards against dispatchers that run out of processor time. An event evaluates only a few of the asks that wait for a shorter
+/// backlog, however many are queued. With up to 24 evaluations for each event, the dispatcher of 90 engines used up its processor
+/// time in such a burst, and half of the asks that it could have placed were late.
+TEST(ShardInABurst, queuedAsksCostFewEvaluationsForEachEvent)
 {
     fillQueue(0);
     const std::uint64_t before = shard->counters().evaluations;
     const std::uint64_t grantedBefore = shard->counters().granted;
     constexpr std::uint64_t events = 50;
-    constexpr std::uint64_t mostInVain = 4;
+    constexpr std::uint64_t maxEvaluations = 4;
     for (std::size_t index = 0; index < events; ++index) {
         end(index, 0.001);
     }
     const std::uint64_t granted = shard->counters().granted - grantedBefore;
-    CHECK_TRUE(shard->counters().evaluations - before <= events * mostInVain + granted);
+    CHECK_TRUE(shard->counters().evaluations - before <= events * maxEvaluations + granted);
 }
 
-/// At a tick more are looked at, so that an ask far behind finds the engine that keeps its prompt.
-TEST(ShardInABurst, aTickLooksFurther)
+/// A tick evaluates more asks, so that an ask far back in the queue finds the engine that caches its prompt.
+TEST(ShardInABurst, aTickEvaluatesMoreAsks)
 {
     fillQueue(0);
     const std::uint64_t before = shard->counters().evaluations;
@@ -388,8 +390,8 @@
     CHECK_TRUE(shard->counters().evaluations - before >= 24);
 }
 
-/// The class that waits holds up no other: the short prompts of the tier above are read before what the engines have.
-TEST(ShardInABurst, anotherClassGoesOn)
+/// Short prompts of the tier above are granted at once, since the engines prefill them before their backlog.
+TEST(ShardInABurst, aWaitingClassDoesNotBlockAnother)
 {
     fillQueue(0);
     const std::size_t before = grants.size();
@@ -399,16 +401,15 @@
     CHECK_EQUAL(before + 20, grants.size());
 }
 
-/// When the engines have read on, what waited is placed.
-TEST(ShardInABurst, whatWaitedIsPlacedWhenTheEnginesHaveReadOn)
+TEST(ShardInABurst, queuedAsksArePlacedWhenTheBacklogIsShorter)
 {
     fillQueue(0);
     shard->tick(at(1.0));
     takeGrants();
-    CHECK_TRUE(shard->queued() < waitingAsks);
+    CHECK_TRUE(shard->queued() < queueLength);
 }
 
-TEST(Shard, anEndpointThatLimitsItsRateGetsNoMoreAndItsNeighbourTheRest)
+TEST(Shard, anEndpointGetsNoMoreThanItsRateLimitAndAnotherTheRemainingRuns)
 {
     shard->applyEndpointUpdate(at(0), home, {1, endpoint("e1"), {Rate::Knowledge::Limited, 1, {}}});
     std::uint32_t limited = 0;
@@ -428,12 +429,12 @@
     CHECK_TRUE(limited + others >= 199);
 }
 
-TEST(Shard, whereAllLimitTheirRateWhatCannotBeginInTimeIsRefusedAtOnceAndToldWhenToComeBack)
+TEST(Shard, withRateLimitsAsksThatCannotStartInTimeAreRefusedWithARetryTime)
 {
     for (const char *name : {"e1", "e2"}) {
         shard->applyEndpointUpdate(at(0), home, {1, endpoint(name), {Rate::Knowledge::Limited, 0.5, {}}});
     }
-    // One a second: those from the twentieth on would begin after their deadline.
+    // One run can start each second, so the asks from the twentieth on would start after their deadline.
     for (int index = 0; index < 30; ++index) {
         ask("alert", 0);
     }
@@ -444,20 +445,20 @@
     CHECK_TRUE(refusals.front().retryAfter > std::chrono::milliseconds(100));
 }
 
-/// Its deadline lies before its target, so that it is never late.
-TEST(Shard, whatComesToWaitInVainIsRefusedAtTheNextTick)
+/// The deadline of the ask is before its target, so the ask is never late but can miss its deadline.
+TEST(Shard, anAskThatCanNoLongerMeetItsDeadlineIsRefusedAtTheNextTick)
 {
     build("create setting refuse-late value yes\n");
     for (const char *name : {"e1", "e2"}) {
         shard->applyEndpointUpdate(at(0), home, {1, endpoint(name), {Rate::Knowledge::Limited, 0.5, {}}});
     }
-    Peer::Ask brief;
-    brief.id = {next++, 1};
-    brief.shard = 1;
-    brief.requestClass = Tests::numberOf(objects, Kind::Class, "routine");
-    brief.organisation = Tests::numberOf(objects, Kind::Organisation, "small");
-    brief.remaining = std::chrono::seconds(3);
-    shard->ask(at(0), home, brief);
+    Peer::Ask shortAsk;
+    shortAsk.id = {next++, 1};
+    shortAsk.shard = 1;
+    shortAsk.requestClass = Tests::numberOf(objects, Kind::Class, "routine");
+    shortAsk.organisation = Tests::numberOf(objects, Kind::Organisation, "small");
+    shortAsk.remaining = std::chrono::seconds(3);
+    shard->ask(at(0), home, shortAsk);
     for (int index = 0; index < 3; ++index) {
         ask("alert", 0);
     }
@@ -465,10 +466,10 @@
     shard->tick(at(0.1));
     const auto refusals = replies<Peer::Refusal>();
     CHECK_EQUAL(1U, refusals.size());
-    CHECK_TRUE(refusals.front().id == brief.id);
+    CHECK_TRUE(refusals.front().id == shortAsk.id);
 }
 
-TEST(Shard, theEndOfALimitLetsWhatWaitsBegin)
+TEST(Shard, theEndOfARateLimitStartsQueuedAsks)
 {
     for (const char *name : {"e1", "e2"}) {
         shard->applyEndpointUpdate(at(0), home, {1, endpoint(name), {Rate::Knowledge::Limited, 0, {}}});
@@ -488,7 +489,7 @@
         shard->applyEndpointUpdate(at(now), home, {1, endpoint(name), {}, {.leavesFor = std::chrono::seconds(60)}});
     }
 
-    /// A run of @p of at the endpoint called @p name is turned away, and the home asked for @p rest.
+    /// The endpoint called @p name rejects a run of the home @p of and advertises a cooldown of @p cooldown.
     void reject(std::string_view name, double now, Base::Duration cooldown, const Home &of)
     {
         shard->applyEndpointUpdate(at(now), of, {1, endpoint(name), {}, {.restsFor = cooldown}});
@@ -505,7 +506,7 @@
     }
 };
 
-TEST(ShardAvailability, whatSaysThatItLeavesGetsNothingOfAnyHome)
+TEST(ShardAvailability, anEndpointThatAnnouncedLeavingGetsNoRunsOfAnyHome)
 {
     announceLeaving("e1", 0);
     for (int index = 0; index < 6; ++index) {
@@ -519,7 +520,7 @@
     CHECK_FALSE(shard->endpoints().front().announcedLeaving || shard->endpoints().back().announcedLeaving);
 }
 
-TEST(ShardAvailability, whereAllSayThatTheyLeaveWhatWaitsIsRefusedAtOnce)
+TEST(ShardAvailability, queuedAsksAreRefusedWhenAllEndpointsAnnounceLeaving)
 {
     for (int index = 0; index < 20; ++index) {
         ask("alert", 0);
@@ -531,7 +532,7 @@
     CHECK_TRUE(replies<Peer::Refusal>().front().reason == RefusalReason::NoEndpoint);
 }
 
-TEST(ShardAvailability, whatRestsForOneHomeTakesAnothersRequests)
+TEST(ShardAvailability, aCooldownForOneHomeAllowsRunsOfAnother)
 {
     reject("e1", 0, std::chrono::seconds(3), home);
     reject("e2", 0, std::chrono::seconds(3), other);
@@ -542,8 +543,9 @@
     CHECK_TRUE(endpoints.contains(endpoint("e2")) && !endpoints.contains(endpoint("e1")));
 }
 
-/// Guards against a refusal that tells a time at which all is as it was, and against requests that wait for a rest in vain.
-TEST(ShardAvailability, whereAllRestWhatCannotBeginInTimeIsRefusedAtOnceAndToldWhenToComeBack)
+/// Guards against a retry time at which all endpoints are still in cooldown, and against asks that wait for a cooldown which ends
+/// after their deadline.
+TEST(ShardAvailability, withCooldownsAsksThatCannotStartInTimeAreRefusedWithARetryTime)
 {
     reject("e1", 0, std::chrono::seconds(30), home);
     reject("e2", 0, std::chrono::seconds(25), home);
@@ -560,7 +562,7 @@
     CHECK_EQUAL(0U, shard->queued());
 }
 
-TEST(ShardAvailability, whatCanWaitForTheEndOfARestBeginsThen)
+TEST(ShardAvailability, anAskThatCanWaitStartsAtTheEndOfACooldown)
 {
     reject("e1", 0, std::chrono::seconds(3), home);
     reject("e2", 0, std::chrono::seconds(4), home);
@@ -571,9 +573,9 @@
     CHECK_TRUE(granted().contains(endpoint("e1")));
 }
 
-/// Guards against an endpoint that turns away all, and by having nothing to do draws all: most it refuses come from homes that it
-/// has not refused yet.
-TEST(ShardAvailability, whatTurnsAwayOneAfterTheOtherGetsNothingOfAnyHomeUntilItsRestEnds)
+/// Guards against an endpoint that rejects all runs. It seems idle and would attract all runs, most of them from homes that it
+/// has not sent a cooldown yet.
+TEST(ShardAvailability, anEndpointWithSeveralRejectionsInARowGetsNoRunsOfAnyHome)
 {
     for (std::uint64_t number = 1; number <= 3; ++number) {
         reject("e1", 0, std::chrono::seconds(3), {"h" + std::to_string(number + 1), number + 10});
@@ -584,8 +586,9 @@
     CHECK_FALSE(granted().contains(endpoint("e1")));
 }
 
-/// Guards against an endpoint of short runs that is held for full for good: its runs end before a refusal would have come.
-TEST(ShardAvailability, aRunThatEndsSoonEndsTheRowOfRefusals)
+/// Guards against an endpoint of short runs that counts as full for ever, because its runs end before the time after which a run
+/// counts as accepted.
+TEST(ShardAvailability, aShortRunEndsTheRowOfRejections)
 {
     reject("e1", 0, std::chrono::seconds(1), other);
     reject("e1", 0, std::chrono::seconds(1), other);
@@ -599,7 +602,7 @@
     CHECK_TRUE(std::ranges::none_of(shard->endpoints(), &EndpointView::coolingDown));
 }
 
-/// Guards against an ask that waits for a rest to end though the endpoint of its failed try would take it.
+/// Guards against an ask that waits for the end of a cooldown although the endpoint of its failed attempt would accept it.
 TEST(ShardAvailability, theEndpointOfAFailedTryIsUsedWhereAllOthersRest)
 {
     reject("e2", 0, std::chrono::seconds(3), home);
