--- a/Source/Dispatch/soonestfirsttoken.cpp
+++ b/Source/Dispatch/soonestfirsttoken.cpp
@@ -183,9 +183,9 @@
     Base::Duration passed = now - engine.updatedAt;
     engine.updatedAt = now;
     for (Base::Duration &time : engine.pendingPrefill | std::views::values) {
-        const Base::Duration read = std::min(time, passed);
-        time -= read;
-        passed -= read;
+        const Base::Duration done = std::min(time, passed);
+        time -= done;
+        passed -= done;
     }
 }
 
--- a/Tests/Dispatch/ordertest.cpp
+++ b/Tests/Dispatch/ordertest.cpp
@@ -111,12 +111,12 @@
 
 TEST(Order, removedAskIsNeverServed)
 {
-    const QueuedAsk gone = ask(1, 0);
-    order.insert(gone);
+    const QueuedAsk removed = ask(1, 0);
+    order.insert(removed);
     order.insert(ask(1, 1));
-    CHECK_TRUE(order.remove(gone.key).has_value());
-    CHECK_FALSE(order.remove(gone.key).has_value());
-    CHECK_FALSE(serve(1).key == gone.key);
+    CHECK_TRUE(order.remove(removed.key).has_value());
+    CHECK_FALSE(order.remove(removed.key).has_value());
+    CHECK_FALSE(serve(1).key == removed.key);
     CHECK_EQUAL(0U, order.size());
 }
 
