--- a/Source/Dispatch/dispatcher.cpp
+++ b/Source/Dispatch/dispatcher.cpp
@@ -68,10 +68,10 @@
     }
 }
 
-void Dispatcher::receive(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news)
+void Dispatcher::receive(Base::Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate)
 {
-    if (const auto shard = m_shards.find(news.shard); shard != m_shards.end()) {
-        shard->second.applyEndpointUpdate(now, home, news);
+    if (const auto shard = m_shards.find(endpointUpdate.shard); shard != m_shards.end()) {
+        shard->second.applyEndpointUpdate(now, home, endpointUpdate);
     }
 }
 
--- a/Source/Dispatch/dispatcher.h
+++ b/Source/Dispatch/dispatcher.h
@@ -28,7 +28,7 @@
     void receive(Base::Instant now, const Home &home, const Peer::Withdrawal &withdrawal);
     void receive(Base::Instant now, const Home &home, const Peer::Release &release);
     void receive(Base::Instant now, const Home &home, const Peer::RunningReport &report);
-    void receive(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news);
+    void receive(Base::Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate);
 
     /// Drops all asks and permits of the home called @p name, except those of its incarnation @p keep (0: drops all).
     void removeHome(Base::Instant now, const std::string &name, std::uint64_t keep);
--- a/Source/Dispatch/shard.cpp
+++ b/Source/Dispatch/shard.cpp
@@ -515,52 +515,53 @@
     dispatchQueued(now, maxSkippedPerEvent);
 }
 
-void Shard::applyEndpointUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &news)
+void Shard::applyEndpointUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate)
 {
-    const auto endpoint = m_endpoints.find(news.endpoint);
+    const auto endpoint = m_endpoints.find(endpointUpdate.endpoint);
     if (endpoint != m_endpoints.end()) {
-        applyRateUpdate(now, home, news, endpoint->second);
-        applyLeavingUpdate(now, home, news, endpoint->second);
-        applyCooldownUpdate(now, home, news, endpoint->second);
+        applyRateUpdate(now, home, endpointUpdate, endpoint->second);
+        applyLeavingUpdate(now, home, endpointUpdate, endpoint->second);
+        applyCooldownUpdate(now, home, endpointUpdate, endpoint->second);
     }
 }
 
 /// Only the dispatcher sees all runs at an endpoint, so it enforces the rate limit of the endpoint. A home sends it the limit in
 /// two cases: when a response of the endpoint advertised it, and when a grant shows that the dispatcher has older information.
-void Shard::applyRateUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state)
+void Shard::applyRateUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate, EndpointState &state)
 {
     const Rate::RateState before = state.rateLimiter.rate();
-    if (state.rateLimiter.applyUpdate(now, Rate::rateStateFrom(news.rate, now))) {
-        Rate::logChange(news.endpoint, before, state.rateLimiter.rate(), home.name);
+    if (state.rateLimiter.applyUpdate(now, Rate::rateStateFrom(endpointUpdate.rate, now))) {
+        Rate::logChange(endpointUpdate.endpoint, before, state.rateLimiter.rate(), home.name);
         dispatchQueued(now, maxSkippedPerEvent);
     }
 }
 
-void Shard::applyLeavingUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state)
+void Shard::applyLeavingUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate, EndpointState &state)
 {
-    if (news.availability.leavingFor == Duration::zero()) {
+    if (endpointUpdate.availability.leavingFor == Duration::zero()) {
         return;
     }
-    state.leavingUntil = std::max(state.leavingUntil, now + news.availability.leavingFor);
+    state.leavingUntil = std::max(state.leavingUntil, now + endpointUpdate.availability.leavingFor);
     if (!std::exchange(state.announcedLeaving, true)) {
-        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaving, {{"endpoint", news.endpoint}, {"source", home.name}});
+        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaving,
+                  {{"endpoint", endpointUpdate.endpoint}, {"source", home.name}});
         markUnusableUnreliable();
         refuseAllIfNoEndpoint();
     }
 }
 
-void Shard::applyCooldownUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state)
+void Shard::applyCooldownUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate, EndpointState &state)
 {
-    if (news.availability.cooldownFor == Duration::zero()) {
+    if (endpointUpdate.availability.cooldownFor == Duration::zero()) {
         return;
     }
     Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointCooldown,
-              {{"endpoint", news.endpoint},
-               {"for-ms", Base::milliseconds(news.availability.cooldownFor)},
+              {{"endpoint", endpointUpdate.endpoint},
+               {"for-ms", Base::milliseconds(endpointUpdate.availability.cooldownFor)},
                {"rested", !state.cooldowns.allows(now, home.incarnation)},
                {"source", home.name}});
-    state.cooldowns.startFor(home.incarnation, now + news.availability.cooldownFor);
-    m_coolingDown.insert(news.endpoint);
+    state.cooldowns.startFor(home.incarnation, now + endpointUpdate.availability.cooldownFor);
+    m_coolingDown.insert(endpointUpdate.endpoint);
 }
 
 void Shard::expireAnnouncements(Instant now)
--- a/Source/Dispatch/shard.h
+++ b/Source/Dispatch/shard.h
@@ -82,7 +82,7 @@
     void report(Base::Instant now, const Home &home, const Peer::RunningReport &report);
 
     /// Applies what an endpoint advertised in its responses to @p home: its rate limit, a cooldown, or that it is leaving.
-    void applyEndpointUpdate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news);
+    void applyEndpointUpdate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate);
 
     /// Drops all asks and permits of the home called @p name, except those of its incarnation @p keep (0: drops all).
     void removeHome(Base::Instant now, const std::string &name, std::uint64_t keep);
@@ -161,9 +161,11 @@
     void dropExpiredPermits(Base::Instant now);
     /// Ejects endpoints that fail, and those that are much worse than the median of the shard.
     void ejectUnhealthy(Base::Instant now);
-    void applyRateUpdate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state);
-    void applyLeavingUpdate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state);
-    void applyCooldownUpdate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state);
+    void applyRateUpdate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate, EndpointState &state);
+    void applyLeavingUpdate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate,
+                            EndpointState &state);
+    void applyCooldownUpdate(Base::Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate,
+                             EndpointState &state);
     void recordRejectedRun(Base::Instant now, const Home &home, std::uint32_t endpoint);
     /// Removes the cooldowns and announcements of leaving that have ended.
     void expireAnnouncements(Base::Instant now);
