--- a/Source/Dispatch/cooldowns.cpp
+++ b/Source/Dispatch/cooldowns.cpp
@@ -11,17 +11,18 @@
 
 using Base::Instant;
 
-/// Requests turned away in a row. One that turns away two of five takes three fifths of what it is sent by others meanwhile.
+/// An endpoint counts as full after this many rejections in a row. An endpoint that rejects two of five runs still accepts the
+/// other three, which other homes send it during the cooldowns. With a limit of two it would often count as full.
 constexpr std::uint32_t rejectionsUntilFull = 3;
-/// Of an endpoint that turns requests away and names no time; doubled with each further one.
+/// Cooldown of a full endpoint that advertises none; it doubles with each further rejection.
 constexpr Base::Duration initialDefaultCooldown = std::chrono::milliseconds(250);
 constexpr Base::Duration maxDefaultCooldown = std::chrono::seconds(2);
 
-/// After @p turnedAway requests in a row.
-Base::Duration defaultCooldown(std::uint32_t turnedAway)
+/// Returns the cooldown of an endpoint that advertises none, after @p rejections runs rejected in a row.
+Base::Duration defaultCooldown(std::uint32_t rejections)
 {
     constexpr std::uint32_t maxDoublings = 3;
-    return std::min(initialDefaultCooldown * (1U << std::min(turnedAway - rejectionsUntilFull, maxDoublings)),
+    return std::min(initialDefaultCooldown * (1U << std::min(rejections - rejectionsUntilFull, maxDoublings)),
                     maxDefaultCooldown);
 }
 
@@ -36,12 +37,12 @@
 void Cooldowns::recordRejection(Instant now, std::uint64_t home)
 {
     ++m_consecutiveRejections;
-    if (!coversAllHomes()) {
+    if (!isFull()) {
         return;
     }
     const auto entry = m_endByHome.find(home);
-    const bool isNamed = entry != m_endByHome.end() && entry->second > now;
-    m_endForAll = std::max(m_endForAll, isNamed ? entry->second : now + defaultCooldown(m_consecutiveRejections));
+    const bool isAdvertised = entry != m_endByHome.end() && entry->second > now;
+    m_fullUntil = std::max(m_fullUntil, isAdvertised ? entry->second : now + defaultCooldown(m_consecutiveRejections));
 }
 
 void Cooldowns::recordAcceptance()
@@ -54,18 +55,18 @@
     m_lastGrant = now;
 }
 
-bool Cooldowns::coversAllHomes() const
+bool Cooldowns::isFull() const
 {
     return m_consecutiveRejections >= rejectionsUntilFull;
 }
 
 bool Cooldowns::allowsAnyHome(Instant now) const
 {
-    if (!coversAllHomes()) {
+    if (!isFull()) {
         return true;
     }
-    // When the rest ends one run at a time finds out whether it takes requests again.
-    return now >= m_endForAll && now >= m_lastGrant + maxRejectionDelay;
+    // After the cooldown one run at a time tests whether the endpoint accepts requests again.
+    return now >= m_fullUntil && now >= m_lastGrant + maxRejectionDelay;
 }
 
 bool Cooldowns::allows(Instant now, std::uint64_t home) const
@@ -78,12 +79,12 @@
 {
     const auto entry = m_endByHome.find(home);
     const Instant own = entry == m_endByHome.end() ? Instant {} : entry->second;
-    return coversAllHomes() ? std::max(own, m_endForAll) : own;
+    return isFull() ? std::max(own, m_fullUntil) : own;
 }
 
-bool Cooldowns::isActive(Instant now) const
+bool Cooldowns::restrictsAnyHome(Instant now) const
 {
-    return coversAllHomes() || std::ranges::any_of(m_endByHome, [now](const auto &entry) { return now < entry.second; });
+    return isFull() || std::ranges::any_of(m_endByHome, [now](const auto &entry) { return now < entry.second; });
 }
 
 void Cooldowns::removeExpired(Instant now)
--- a/Source/Dispatch/cooldowns.h
+++ b/Source/Dispatch/cooldowns.h
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Which homes' requests an endpoint takes, by what it has asked them for when it turned their requests away.
+/// Cooldowns of an endpoint. When an endpoint rejects a run, it can advertise a cooldown: a time in which it accepts no runs of
+/// that run's home.
 
 #pragma once
 
@@ -13,49 +14,53 @@
 
 namespace Yokepond::Dispatch {
 
-/// A refusal of a run has come back to the dispatcher by then, else the run has been taken.
+/// If a rejection has not reached the dispatcher within this time after the grant, the endpoint has accepted the run.
 inline constexpr Base::Duration maxRejectionDelay = std::chrono::milliseconds(100);
 
-/// At the dispatcher of one endpoint. A rest is a word to one home; an endpoint that turns away one request after the other is
-/// full for all of them. Homes are named by their incarnations.
+/// The dispatcher's state of the cooldowns of one endpoint. An advertised cooldown applies to one home. An endpoint that rejects
+/// several runs in a row, of any homes, counts as full and gets a cooldown for all homes. It stays full until it accepts a run.
+/// Homes are identified by their incarnations.
 class Cooldowns
 {
 public:
-    /// The endpoint takes no request of @p home until @p until.
+    /// Records that the endpoint advertised to @p home a cooldown that ends at @p until. A shorter one does not replace a longer
+    /// one.
     void startFor(std::uint64_t home, Base::Instant until);
 
-    /// A run of @p home was turned away. Where no rest was named one is assumed, if it is not the first in a row.
+    /// Records that the endpoint rejected a run of @p home. If it is now full, starts a cooldown for all homes. It has the
+    /// duration that was advertised to @p home, or else a default one.
     void recordRejection(Base::Instant now, std::uint64_t home);
 
-    /// A run was not turned away.
+    /// Records that the endpoint accepted a run, so it is not full any more.
     void recordAcceptance();
 
-    /// A run of any home is on its way there.
+    /// Records that a run of any home has been granted.
     void recordGrant(Base::Instant now);
 
-    /// Whether a run of @p home may be sent.
+    /// Returns whether a run of @p home may be sent.
     bool allows(Base::Instant now, std::uint64_t home) const;
 
-    /// Whether a run of any home may be sent.
+    /// Returns whether runs may be sent at all, apart from the cooldowns of single homes.
     bool allowsAnyHome(Base::Instant now) const;
 
-    /// From when on a run of @p home may be sent, as far as it is known.
+    /// Returns the end of the cooldown for @p home; a time in the past if there is none.
     Base::Instant endFor(std::uint64_t home) const;
 
-    /// Whether some home's runs may not be sent, or the endpoint has not been seen to take requests since then.
-    bool isActive(Base::Instant now) const;
+    /// Returns whether any home has a cooldown, or the endpoint is full.
+    bool restrictsAnyHome(Base::Instant now) const;
 
-    /// Whether it turned away one run after the other, whosever they were, and none has been taken since.
-    bool coversAllHomes() const;
+    /// Returns whether the endpoint rejected several runs in a row and has accepted none since. It can still be full after its
+    /// cooldown.
+    bool isFull() const;
 
-    /// Forgets what has ended.
+    /// Removes the cooldowns of single homes that have ended.
     void removeExpired(Base::Instant now);
 
 private:
-    std::map<std::uint64_t, Base::Instant> m_endByHome; ///< by home
-    Base::Instant m_endForAll {};
+    std::map<std::uint64_t, Base::Instant> m_endByHome;
+    Base::Instant m_fullUntil {};
     Base::Instant m_lastGrant {};
-    std::uint32_t m_consecutiveRejections = 0; ///< in a row
+    std::uint32_t m_consecutiveRejections = 0;
 };
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/endpointstates.cpp
+++ b/Source/Dispatch/endpointstates.cpp
@@ -15,6 +15,7 @@
 
 using Base::Duration;
 
+/// A median is compared only if at least this many endpoints have a value.
 constexpr std::size_t minEndpointsToCompare = 3;
 
 template<typename Value>
@@ -25,7 +26,7 @@
     return *middle;
 }
 
-/// What @p told tells of each healthy endpoint, where it tells something.
+/// Returns the value that @p getter returns for each healthy endpoint, without those for which it returns nothing.
 template<typename Getter>
 auto valuesOfHealthy(const EndpointStates &endpoints, Getter getter)
 {
@@ -61,10 +62,10 @@
 {
     return std::transform_reduce(endpoints.begin(), endpoints.end(), std::size_t {0}, std::plus {}, [](const auto &entry) {
         const EndpointState &state = entry.second;
-        if (!state.isUsable() || state.cooldowns.coversAllHomes()) {
+        if (!state.isUsable() || state.cooldowns.isFull()) {
             return std::size_t {0};
         }
-        // The slots of an endpoint that limits its rate are not there to be filled.
+        // An endpoint that limits its rate counts with the runs that it starts in a second, since it cannot fill all its slots.
         const double startsPerSecond
             = state.rateLimiter.isLimited() ? std::ceil(Rate::enforcedRate(state.rateLimiter.rate())) : state.windowSize();
         return std::size_t {std::min(state.windowSize(), static_cast<std::uint32_t>(startsPerSecond))};
@@ -119,7 +120,7 @@
 bool allHaveCooldowns(const EndpointStates &endpoints, Base::Instant now)
 {
     return std::ranges::all_of(endpoints | std::views::values, [now](const EndpointState &state) {
-        return !state.acceptsWork() || state.cooldowns.isActive(now);
+        return !state.acceptsWork() || state.cooldowns.restrictsAnyHome(now);
     });
 }
 
@@ -165,7 +166,7 @@
     for (const auto &[number, state] : endpoints) {
         const Rate::RateState &rate = state.rateLimiter.rate();
         views.push_back({number, state.running, state.windowSize(), state.health.state(), !state.isUsable(),
-                         state.announcedLeaving, state.cooldowns.coversAllHomes(),
+                         state.announcedLeaving, state.cooldowns.isFull(),
                          Base::milliseconds(state.health.firstToken().value_or(Duration::zero())),
                          Base::milliseconds(state.health.interTokenLatency().value_or(Duration::zero())),
                          rate.isLimited() ? std::optional(rate.perSecond) : std::nullopt});
--- a/Source/Dispatch/prefillpauses.cpp
+++ b/Source/Dispatch/prefillpauses.cpp
@@ -14,16 +14,19 @@
 using Base::Duration;
 using Base::Instant;
 
-/// Pauses are expected to within this part of what is allowed: below it a stream is in time, above its mirror image late.
+/// Relative uncertainty of an expected pause. A stream is expected to be on time if the pause is shorter than the allowed one by
+/// at least this share, and late if it is longer by at least this share. The probability rises linearly between the two.
 constexpr double uncertainty = 0.2;
-/// An engine is taken to read on as it did for so long, so that those with long reads stay apart from tight streams between two
-/// such reads. Where answers take 2.6 s, mean worth was 0.701 with 2 s, 0.707 with 4 s and 0.709 with 8 s (trials of 10, 15 and
-/// 15 days); a memory longer than needed finds no engine without long reads.
+/// The longest prefill within this period is taken as the prediction for an engine. This keeps streams that allow only short
+/// pauses away from an engine between two long prefills. If the period is too long, each engine has had a long prefill within it.
+/// Where responses take 2.6 s, the served share of the attainable value was 0.701 with 2 s, 0.707 with 4 s and 0.709 with 8 s
+/// (means of 10, 15 and 15 simulated days).
 constexpr Duration recentPeriod = std::chrono::seconds(4);
-/// Longer ago than any run that is still under way began.
+/// Bursts are kept for this time, which is longer than any active run has lasted.
 constexpr Duration burstRetention = std::chrono::seconds(30);
-/// Of the latest run, in what is learned. The longest pause follows what is longer fifty times faster than what is shorter, so
-/// that it stays near the longest of fifty runs: most do not meet the whole of what the engine reads.
+/// Weight of the latest run in the moving averages. The longest pause rises with a weight fifty times that with which it falls,
+/// and so stays near the longest of fifty runs. This is needed because most runs overlap only a part of a prefill and see shorter
+/// pauses.
 constexpr double latestWeight = 0.1;
 constexpr double latestWeightIfShorter = 0.002;
 
@@ -68,11 +71,11 @@
     return std::clamp((pause - 1.0 + uncertainty) / (2.0 * uncertainty), 0.0, 1.0);
 }
 
-double PrefillPauses::expectedNewlyLate(Duration before, Duration after) const
+double PrefillPauses::expectedNewlyLate(Duration oldLength, Duration newLength) const
 {
     double sum = 0;
     for (const auto &[allowed, streams] : m_streams) {
-        sum += streams.onTime * std::max(0.0, lateProbabilityFor(after, allowed) - lateProbabilityFor(before, allowed));
+        sum += streams.onTime * std::max(0.0, lateProbabilityFor(newLength, allowed) - lateProbabilityFor(oldLength, allowed));
     }
     return sum;
 }
@@ -91,15 +94,15 @@
     return lateProbabilityFor(longestBurst(now - recentPeriod), allowed);
 }
 
-void PrefillPauses::recordPrefill(Instant now, Duration before, Duration after)
+void PrefillPauses::recordPrefill(Instant now, Duration oldLength, Duration newLength)
 {
     for (auto &[allowed, streams] : m_streams) {
-        streams.onTime *= 1.0 - std::max(0.0, lateProbabilityFor(after, allowed) - lateProbabilityFor(before, allowed));
+        streams.onTime *= 1.0 - std::max(0.0, lateProbabilityFor(newLength, allowed) - lateProbabilityFor(oldLength, allowed));
     }
-    while (!m_bursts.empty() && m_bursts.back().length <= after) {
+    while (!m_bursts.empty() && m_bursts.back().length <= newLength) {
         m_bursts.pop_back();
     }
-    m_bursts.push_back({now, after});
+    m_bursts.push_back({now, newLength});
     while (m_bursts.front().at < now - burstRetention) {
         m_bursts.pop_front();
     }
@@ -133,7 +136,7 @@
         return;
     }
     m_meanPause = m_meanPause == Duration::zero() ? seen.mean : movingAverage(m_meanPause, seen.mean, latestWeight);
-    // A pause as long as the engine read tells nothing of how long one can get, and a longer one has another cause.
+    // A pause longer than the prefill has another cause.
     if (longestBurst(firstToken) < seen.longest) {
         return;
     }
--- a/Source/Dispatch/shard.cpp
+++ b/Source/Dispatch/shard.cpp
@@ -25,39 +25,44 @@
 using Peer::RefusalReason;
 using Peer::RunResult;
 
-/// On top of the median first-token time, for an ask to count as still on time.
+/// Factor on the median first-token time, and allowance for network delays, in the time to the first token that the queue
+/// expects. The queue prefers asks that can still be on time with it.
 constexpr double firstTokenMargin = 1.5;
 constexpr Duration expectedNetworkDelay = std::chrono::milliseconds(20);
-/// How long a grant may wait at its home before the run must have started.
+/// A home must start the run within this time after the grant.
 constexpr Duration startTimeout = std::chrono::seconds(2);
-/// After a take-over the homes' reports of running permits are awaited; until then windows count for half.
+/// After a takeover the new dispatcher waits this long for the homes' reports of running permits. Meanwhile it uses half of each
+/// window.
 constexpr Duration takeoverPeriod = std::chrono::milliseconds(300);
-/// Whoever dispatched an endpoint before may grant by its own count until all hosts know of the change, and what it granted is
-/// still to arrive.
+/// For this time after an endpoint has come to this dispatcher, half of its advertised rate limit is used. Its previous
+/// dispatcher may still grant runs up to the limit until all hosts have the new assignment, and its last grants arrive even
+/// later.
 constexpr Duration sharedRatePeriod = std::chrono::seconds(4);
+/// Period over which the rate of grants is measured, and the weight of the latest period in its moving average.
 constexpr Duration ratePeriod = std::chrono::seconds(1);
 constexpr double latestRateWeight = 0.4;
 constexpr Duration minRetryAfter = std::chrono::milliseconds(500);
-/// On top of the time by which an ask would be late: the next try must not meet just the same.
-constexpr Duration minExtraRetryAfterLate = std::chrono::milliseconds(100);
+/// Margin added to the retry time of an ask that is refused as late. Without it the next attempt would find the same state.
+constexpr Duration lateRetryMargin = std::chrono::milliseconds(100);
 constexpr Duration maxRetryAfter = std::chrono::seconds(30);
-/// Over so long come back those that were refused since all endpoints rested.
+/// Asks that were refused because of cooldowns are retried at random times within this period.
 constexpr Duration cooldownRetryJitter = std::chrono::milliseconds(500);
-/// A permit is given up by its home's report only if it is older: the grant may still be on its way.
+/// A home's report that lacks a permit drops it only if the permit is older than this, since the grant may still be on its way.
 constexpr Duration reportGrace = std::chrono::seconds(3);
 constexpr Duration maxEjection = std::chrono::seconds(30);
 constexpr Duration maxEjectionOfLastEndpoint = std::chrono::seconds(2);
-/// Asks that are looked at in vain, beyond those that can be granted: few at each ask and release, since hundreds come in a
-/// second and each look costs some 0.5 us an endpoint, and more at each tick, so that those further behind find the engine that
-/// keeps their prompts. With 24 at each event the dispatcher of 90 engines spent its processor on looks in a burst of long
-/// prompts, and 0.39 of the worth of such a day was served where 0.74 is with processor time for nothing.
+/// Limits on the asks that are evaluated and skipped because no endpoint can take them. The limit is low for each ask and
+/// release, because hundreds of them arrive in a second and each evaluation costs about 0.5 us per endpoint. It is higher for a
+/// tick, so that asks further back in the queue find the engine that keeps their prompts. With a limit of 24 for each event, the
+/// dispatcher of 90 engines used up its processor time on evaluations in a burst of long prompts. On a simulated day the fleet
+/// then served 0.39 of the attainable value in time, against 0.74 in a simulation that charges no processor time.
 constexpr std::size_t maxSkippedPerEvent = 3;
 constexpr std::size_t maxSkippedPerTick = 64;
-constexpr std::size_t maxEjectedDivisor = 3; ///< at most a third of the endpoints are ejected for being worse than the others
-/// A permit outlives its request's deadline by so much: the home's word of its end may still be on the way.
+constexpr std::size_t maxEjectedDivisor = 3; ///< at most a third of the endpoints are ejected because the others are better
+/// A permit is kept this long after the deadline of its request, since the release may still be on its way.
 constexpr Duration expiryGrace = std::chrono::milliseconds(500);
 
-/// As the home names it in its own log.
+/// Returns the name that the home uses for the request in its own log.
 std::string requestName(const Home &home, const AskKey &key)
 {
     return fmt::format("{}.{:x}.{}", home.name, home.incarnation, key.id.request);
@@ -75,7 +80,7 @@
     configureEndpoints(now);
 }
 
-Shard::Order Shard::makeOrder(const Policies &policies)
+Shard::Queue Shard::makeQueue(const Policies &policies)
 {
     constexpr double percent = 100.0;
     if (policies.order == Configuration::OrderPolicy::Fifo) {
@@ -113,14 +118,14 @@
     for (const QueuedAsk *ask : queuedAsks()) {
         waiting.push_back(*ask);
     }
-    m_order = makeOrder(m_catalogue->policies());
+    m_queue = makeQueue(m_catalogue->policies());
     if (m_catalogue->policies().placement != m_placementPolicy || m_endpoints.empty()) {
-        // What it has learned is kept as long as the policy stays.
+        // The placement keeps what it has learned unless the policy itself changes.
         m_placementPolicy = m_catalogue->policies().placement;
         m_placement = makePlacement(m_catalogue->policies());
     }
     for (QueuedAsk &ask : waiting) {
-        // A class that was deleted meanwhile leaves its asks their last terms.
+        // Asks of a class that has been deleted keep their last parameters.
         if (const RequestClass *requestClass = m_catalogue->classByNumber(ask.ask.requestClass)) {
             ask.parameters = poolParameters().forClass(*requestClass, ask.ask.rank);
         }
@@ -139,7 +144,7 @@
         return removed;
     });
     for (auto &[number, state] : m_endpoints) {
-        // One that left the shard with runs under way gets nothing new.
+        // An endpoint that left the shard while runs are active gets no new ones.
         state.drained = std::ranges::find(m_info.endpoints, number) == m_info.endpoints.end();
     }
     for (const std::uint32_t number : m_info.endpoints) {
@@ -160,7 +165,8 @@
     markUnusableUnreliable();
 }
 
-/// Endpoints that leave answer to none but their own runs.
+/// A leaving endpoint responds only to the runs that it already has, so other engines cannot fetch prompts from it. The same is
+/// assumed of drained and replaced endpoints.
 void Shard::markUnusableUnreliable()
 {
     for (const auto &entry : m_endpoints) {
@@ -171,9 +177,10 @@
     }
 }
 
-/// The platform lists an engine for seconds after its end. Another that has its address meanwhile rejects at once what is meant
-/// for it, and by having nothing to do draws all that comes: 38 engines that had crashed drew 1,103 of 26,700 requests in 14 s,
-/// up to 90 each (the large deployment, a fifth and then a quarter of 320 engines crashing in a burst).
+/// Stops grants for an endpoint whose address belongs to another engine now. The platform lists an engine for some seconds after
+/// it ended. An engine that has taken over its address rejects the requests meant for the old one at once. The old endpoint then
+/// seems idle and attracts all new requests: 38 crashed engines received 1,103 of 26,700 requests in 14 s, up to 90 each (large
+/// deployment, a fifth and then a quarter of 320 engines crashing in a burst).
 void Shard::markReplaced(std::uint32_t endpoint)
 {
     const auto entry = m_endpoints.find(endpoint);
@@ -207,18 +214,18 @@
 
 void Shard::enqueue(const QueuedAsk &ask)
 {
-    std::visit([&](auto &order) { order.insert(ask); }, m_order);
+    std::visit([&](auto &queue) { queue.insert(ask); }, m_queue);
 }
 
 void Shard::ask(Instant now, const Home &home, const Peer::Ask &message)
 {
     const AskKey key {home.incarnation, message.id};
     if (const auto permit = m_permits.find(key); permit != m_permits.end()) {
-        // The ask was repeated because the home may not have got the answer.
+        // The home repeats an ask when it may not have received the reply.
         m_replies.push_back({home, permit->second.grant});
         return;
     }
-    if (std::visit([&](const auto &order) { return order.find(key); }, m_order) != nullptr) {
+    if (std::visit([&](const auto &queue) { return queue.find(key); }, m_queue) != nullptr) {
         m_replies.push_back({home, Peer::Queued {message.id}});
         return;
     }
@@ -249,14 +256,14 @@
     m_lateRefusals.earn(queued.parameters.rank);
     WaitEstimates estimates(now, m_endpoints, m_placement, m_catalogue->policies().refuseLate);
     const QueueAhead ahead = estimates.needQueueAhead() ? aheadOf(queued) : QueueAhead {};
-    if (const WaitEstimate estimate = estimates.forAsk(queued, ahead); mayRefuseAsLate(queued, estimate)) {
+    if (const WaitEstimate estimate = estimates.forAsk(queued, ahead); tryLateRefusal(queued, estimate)) {
         refuse(queued, RefusalReason::TooLate, retryAfterLate(queued, estimate));
         return;
     }
     enqueue(queued);
     dispatchQueued(now, maxSkippedPerEvent);
     shedOverLimit(queued);
-    if (std::visit([&](const auto &order) { return order.find(key); }, m_order) != nullptr) {
+    if (std::visit([&](const auto &queue) { return queue.find(key); }, m_queue) != nullptr) {
         m_replies.push_back({home, Peer::Queued {message.id}});
     }
 }
@@ -266,8 +273,8 @@
     if (queued() <= m_catalogue->policies().queueLimit) {
         return;
     }
-    const AskKey evictionCandidate = std::visit([&](const auto &order) { return order.evictionCandidate(newAsk); }, m_order);
-    if (auto shed = std::visit([&](auto &order) { return order.remove(evictionCandidate); }, m_order)) {
+    const AskKey evictionCandidate = std::visit([&](const auto &queue) { return queue.evictionCandidate(newAsk); }, m_queue);
+    if (auto shed = std::visit([&](auto &queue) { return queue.remove(evictionCandidate); }, m_queue)) {
         ++m_counters.shed;
         refuse(*shed, RefusalReason::QueueFull);
     }
@@ -281,12 +288,14 @@
     if (!m_catalogue->policies().hopelessShedding || !m_saturated || m_grantsPerSecond <= 0) {
         return false;
     }
-    const std::size_t ahead = std::visit([&](const auto &order) { return order.aheadOf(ask.parameters.rank); }, m_order);
+    const std::size_t ahead
+        = std::visit([&](const auto &queue) { return queue.countInTierOrAbove(ask.parameters.rank); }, m_queue);
     return static_cast<double>(ahead) / m_grantsPerSecond > Base::seconds(ask.deadline - now);
 }
 
-/// What cannot begin before its deadline would wait in vain, whatever its tier; else a tier has to have refusals left.
-bool Shard::mayRefuseAsLate(const QueuedAsk &ask, const WaitEstimate &estimate)
+/// An ask that cannot start before its deadline is always refused. One that would only miss its target is refused if the limit of
+/// its tier allows it.
+bool Shard::tryLateRefusal(const QueuedAsk &ask, const WaitEstimate &estimate)
 {
     return estimate.missesDeadline
         || (estimate.lateness > Duration::zero() && m_lateRefusals.spend(ask.parameters.rank, poolParameters().lowestRank()));
@@ -299,14 +308,15 @@
         const bool before = other->parameters.rank < ask.parameters.rank
             || (other->parameters.rank == ask.parameters.rank && other->arrival <= ask.arrival && other->key != ask.key);
         if (before) {
-            ahead.prefillTime += std::visit([&](const auto &placement) { return placement.prefillTime(*other); }, m_placement);
+            ahead.prefillTime
+                += std::visit([&](const auto &placement) { return placement.expectedPrefillTime(*other); }, m_placement);
             ++ahead.asks;
         }
     }
     return ahead;
 }
 
-/// What has become too late while it waited gives its place to what can still be on time.
+/// Refuses asks that have become late while they were queued, so that others can still be on time.
 void Shard::refuseLate(Instant now)
 {
     if (queued() == 0 || !m_catalogue->policies().refuseLate) {
@@ -325,12 +335,12 @@
         if (estimate.missesDeadline) {
             continue;
         }
-        ahead.prefillTime += std::visit([&](const auto &placement) { return placement.prefillTime(*ask); }, m_placement);
+        ahead.prefillTime += std::visit([&](const auto &placement) { return placement.expectedPrefillTime(*ask); }, m_placement);
         ++ahead.asks;
     }
     for (const auto &[ask, estimate] : late) {
-        if (mayRefuseAsLate(ask, estimate)) {
-            std::visit([&](auto &order) { order.remove(ask.key); }, m_order);
+        if (tryLateRefusal(ask, estimate)) {
+            std::visit([&](auto &queue) { queue.remove(ask.key); }, m_queue);
             refuse(ask, RefusalReason::TooLate, retryAfterLate(ask, estimate));
         }
     }
@@ -338,8 +348,8 @@
 
 void Shard::refuse(const QueuedAsk &ask, RefusalReason reason)
 {
-    if (reason == RefusalReason::QueueFull && std::holds_alternative<TieredOrder>(m_order)) {
-        const std::size_t ofTierOrAbove = std::get<TieredOrder>(m_order).aheadOf(ask.parameters.rank);
+    if (reason == RefusalReason::QueueFull && std::holds_alternative<TieredOrder>(m_queue)) {
+        const std::size_t ofTierOrAbove = std::get<TieredOrder>(m_queue).countInTierOrAbove(ask.parameters.rank);
         Base::checkInvariant(ofTierOrAbove == queued(), Base::Invariant::HigherTierKept);
     }
     refuse(ask, reason, retryAfter());
@@ -386,19 +396,19 @@
     for (const QueuedAsk *ask : queuedAsks()) {
         refuse(*ask, *reason);
     }
-    m_order = makeOrder(m_catalogue->policies());
+    m_queue = makeQueue(m_catalogue->policies());
 }
 
-/// Where all endpoints rest: when the first of them takes requests again, so spread that not all that were refused return at
-/// once.
+/// Returns when a late ask may be retried. While all endpoints are in cooldown this is the end of the first cooldown, plus a
+/// jitter so that the refused asks do not all return at once.
 Duration Shard::retryAfterLate(const QueuedAsk &ask, const WaitEstimate &estimate)
 {
-    const Duration late = estimate.lateness + minExtraRetryAfterLate;
+    const Duration late = estimate.lateness + lateRetryMargin;
     if (estimate.cooldown == Duration::zero()) {
         return late;
     }
     const auto spread = static_cast<Duration::rep>(Base::hash64(requestName(ask.home, ask.key)) % cooldownRetryJitter.count());
-    return std::max(late, estimate.cooldown + minExtraRetryAfterLate + Duration(spread));
+    return std::max(late, estimate.cooldown + lateRetryMargin + Duration(spread));
 }
 
 Duration Shard::retryAfter() const
@@ -414,10 +424,10 @@
 void Shard::withdraw(Instant now, const Home &home, const Peer::Withdrawal &withdrawal)
 {
     const AskKey key {home.incarnation, withdrawal.id};
-    if (std::visit([&](auto &order) { return order.remove(key); }, m_order)) {
+    if (std::visit([&](auto &queue) { return queue.remove(key); }, m_queue)) {
         ++m_counters.withdrawn;
     } else {
-        // The grant crossed the withdrawal; the home will not use it.
+        // The grant was sent before the withdrawal arrived; the home will not use it.
         dropPermit(key);
     }
     dispatchQueued(now, maxSkippedPerEvent);
@@ -505,52 +515,53 @@
     dispatchQueued(now, maxSkippedPerEvent);
 }
 
-void Shard::applyEndpointUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &news)
+void Shard::applyEndpointUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate)
 {
-    const auto endpoint = m_endpoints.find(news.endpoint);
+    const auto endpoint = m_endpoints.find(endpointUpdate.endpoint);
     if (endpoint != m_endpoints.end()) {
-        applyRateUpdate(now, home, news, endpoint->second);
-        applyLeavingUpdate(now, home, news, endpoint->second);
-        applyCooldownUpdate(now, home, news, endpoint->second);
+        applyRateUpdate(now, home, endpointUpdate, endpoint->second);
+        applyLeavingUpdate(now, home, endpointUpdate, endpoint->second);
+        applyCooldownUpdate(now, home, endpointUpdate, endpoint->second);
     }
 }
 
-/// Every run at an endpoint that limits its rate is to be counted, and only the dispatcher sees them all. What it counts by it
-/// has from the homes: those whose runs were told, and those that know better than a grant that comes to them.
-void Shard::applyRateUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state)
+/// Only the dispatcher sees all runs at an endpoint, so it enforces the rate limit of the endpoint. A home sends it the limit in
+/// two cases: when a response of the endpoint advertised it, and when a grant shows that the dispatcher has older information.
+void Shard::applyRateUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate, EndpointState &state)
 {
     const Rate::RateState before = state.rateLimiter.rate();
-    if (state.rateLimiter.applyUpdate(now, Rate::rateStateFrom(news.rate, now))) {
-        Rate::logChange(news.endpoint, before, state.rateLimiter.rate(), home.name);
+    if (state.rateLimiter.applyUpdate(now, Rate::rateStateFrom(endpointUpdate.rate, now))) {
+        Rate::logChange(endpointUpdate.endpoint, before, state.rateLimiter.rate(), home.name);
         dispatchQueued(now, maxSkippedPerEvent);
     }
 }
 
-void Shard::applyLeavingUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state)
+void Shard::applyLeavingUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate, EndpointState &state)
 {
-    if (news.availability.leavingFor == Duration::zero()) {
+    if (endpointUpdate.availability.leavingFor == Duration::zero()) {
         return;
     }
-    state.leavingUntil = std::max(state.leavingUntil, now + news.availability.leavingFor);
+    state.leavingUntil = std::max(state.leavingUntil, now + endpointUpdate.availability.leavingFor);
     if (!std::exchange(state.announcedLeaving, true)) {
-        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaving, {{"endpoint", news.endpoint}, {"source", home.name}});
+        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaving,
+                  {{"endpoint", endpointUpdate.endpoint}, {"source", home.name}});
         markUnusableUnreliable();
         refuseAllIfNoEndpoint();
     }
 }
 
-void Shard::applyCooldownUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &news, EndpointState &state)
+void Shard::applyCooldownUpdate(Instant now, const Home &home, const Peer::EndpointUpdate &endpointUpdate, EndpointState &state)
 {
-    if (news.availability.cooldownFor == Duration::zero()) {
+    if (endpointUpdate.availability.cooldownFor == Duration::zero()) {
         return;
     }
     Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointCooldown,
-              {{"endpoint", news.endpoint},
-               {"for-ms", Base::milliseconds(news.availability.cooldownFor)},
+              {{"endpoint", endpointUpdate.endpoint},
+               {"for-ms", Base::milliseconds(endpointUpdate.availability.cooldownFor)},
                {"rested", !state.cooldowns.allows(now, home.incarnation)},
                {"source", home.name}});
-    state.cooldowns.startFor(home.incarnation, now + news.availability.cooldownFor);
-    m_coolingDown.insert(news.endpoint);
+    state.cooldowns.startFor(home.incarnation, now + endpointUpdate.availability.cooldownFor);
+    m_coolingDown.insert(endpointUpdate.endpoint);
 }
 
 void Shard::expireAnnouncements(Instant now)
@@ -560,7 +571,7 @@
         if (endpoint != m_endpoints.end()) {
             endpoint->second.cooldowns.removeExpired(now);
         }
-        return endpoint == m_endpoints.end() || !endpoint->second.cooldowns.isActive(now);
+        return endpoint == m_endpoints.end() || !endpoint->second.cooldowns.restrictsAnyHome(now);
     });
     for (EndpointState &state : m_endpoints | std::views::values) {
         state.announcedLeaving = state.announcedLeaving && now < state.leavingUntil;
@@ -589,7 +600,7 @@
         }
     }
     for (const AskKey &key : keys) {
-        std::visit([&](auto &order) { order.remove(key); }, m_order);
+        std::visit([&](auto &queue) { queue.remove(key); }, m_queue);
         ++m_counters.withdrawn;
     }
     dispatchQueued(now, maxSkippedPerEvent);
@@ -637,8 +648,8 @@
         m_periodBegan = now;
         m_saturated = queued() > 0;
     }
-    for (const AskKey &key : std::visit([&](const auto &order) { return order.expired(now); }, m_order)) {
-        if (const auto ask = std::visit([&](auto &order) { return order.remove(key); }, m_order)) {
+    for (const AskKey &key : std::visit([&](const auto &queue) { return queue.expired(now); }, m_queue)) {
+        if (const auto ask = std::visit([&](auto &queue) { return queue.remove(key); }, m_queue)) {
             refuse(*ask, RefusalReason::DeadlinePassed);
         }
     }
@@ -654,16 +665,16 @@
 {
     const bool ejectSlow = m_catalogue->policies().ejectSlow;
     const auto median = medianInterTokenLatency(m_endpoints);
-    const auto errors = medianErrorShare(m_endpoints);
+    const auto medianErrors = medianErrorShare(m_endpoints);
     std::size_t ejected = ejectedCount(m_endpoints);
     for (auto &[number, state] : m_endpoints) {
         const bool mayCompare = (ejected + 1) * maxEjectedDivisor <= m_endpoints.size();
-        const bool worse = state.health.hasHighErrorShare(errors) || (ejectSlow && state.health.isSlow(median));
+        const bool worse = state.health.hasHighErrorShare(medianErrors) || (ejectSlow && state.health.isSlow(median));
         const bool bad = state.health.isFailing() || (mayCompare && worse);
         if (!bad || state.health.state() == HealthState::Ejected) {
             continue;
         }
-        // With no other endpoint left there is nothing to spare by probing seldom.
+        // With no other endpoint left, a long ejection would only delay the recovery.
         const bool last = ejected + 1 >= m_endpoints.size();
         state.health.eject(now, last ? maxEjectionOfLastEndpoint : maxEjection);
         std::visit([&](auto &placement) { placement.markUnreliable(number); }, m_placement);
@@ -709,7 +720,8 @@
     if (!median) {
         return Duration::zero();
     }
-    // Runs differ: an ask that would only just be on time by the median is more often late.
+    // The factor is needed because first-token times vary. Of the asks that would only just be on time with the median, more than
+    // half would be late.
     return std::chrono::duration_cast<Duration>(*median * firstTokenMargin) + expectedNetworkDelay;
 }
 
@@ -720,27 +732,27 @@
     }
     const Duration expected = expectedFirstToken();
     std::vector<Candidate> withFreeSlots = candidates(now);
-    // One that no endpoint can take now, for its size or for the prompts it would wait behind, holds up none of the others.
+    // An ask that no endpoint can take now, because of its size or the prefill backlog, does not block the asks behind it.
     std::vector<QueuedAsk> skipped;
     while (queued() > 0 && skipped.size() < maxSkipped && !withFreeSlots.empty()) {
-        const auto key = std::visit([&](auto &order) { return order.next(now, expected); }, m_order);
-        const QueuedAsk waiting = *std::visit([&](const auto &order) { return order.find(*key); }, m_order);
+        const auto key = std::visit([&](auto &queue) { return queue.next(now, expected); }, m_queue);
+        const QueuedAsk waiting = *std::visit([&](const auto &queue) { return queue.find(*key); }, m_queue);
         if (tryGrant(now, waiting, withFreeSlots)) {
             withFreeSlots = candidates(now);
         } else {
             skipped.push_back(waiting);
-            std::visit([&](auto &order) { order.remove(waiting.key); }, m_order);
+            std::visit([&](auto &queue) { queue.remove(waiting.key); }, m_queue);
         }
     }
     std::ranges::for_each(skipped, [this](const QueuedAsk &ask) { enqueue(ask); });
 }
 
-/// Grants @p waiting if there is an endpoint for it now among those @p withRoom.
+/// Grants @p waiting if one of the endpoints in @p withFreeSlots can take it now. Returns whether it did.
 bool Shard::tryGrant(Instant now, const QueuedAsk &waiting, const std::vector<Candidate> &withFreeSlots)
 {
     ++m_counters.evaluations;
     std::vector<Candidate> others;
-    // The endpoint of a failed try is used again only if there is no other.
+    // The endpoint of a failed attempt is used again only if it is the only one with free slots.
     const bool avoids = waiting.ask.avoid != 0 && withFreeSlots.size() > 1;
     const bool filters = avoids || !m_coolingDown.empty();
     if (filters) {
@@ -757,7 +769,7 @@
     if (!endpoint) {
         return false;
     }
-    const auto ask = std::visit([&](auto &order) { return order.serve(waiting.key); }, m_order);
+    const auto ask = std::visit([&](auto &queue) { return queue.serve(waiting.key); }, m_queue);
     grant(now, *ask, *endpoint);
     return true;
 }
@@ -775,7 +787,8 @@
     const Rate::RateInfo rate = state.rateLimiter.rate().info(now);
     state.rateLimiter.spend(now);
     state.cooldowns.recordGrant(now);
-    // The home's clock runs as fast as this one, so that the time waited here can be added to the time it sent the ask.
+    // startBy is on the home's clock. Both clocks run at the same speed, so the time that the ask was queued here can be added to
+    // the time at which the home sent it.
     const Instant startBy = ask.ask.sentAt + (now - ask.received) + startTimeout;
     Permit permit {ask.home,
                    endpoint,
@@ -804,7 +817,7 @@
     for (const QueuedAsk *ask : queuedAsks()) {
         m_replies.push_back({ask->home, Peer::Refusal {ask->key.id, RefusalReason::NotDispatcher, Duration::zero(), 0}});
     }
-    m_order = makeOrder(m_catalogue->policies());
+    m_queue = makeQueue(m_catalogue->policies());
 }
 
 std::vector<Reply> Shard::takeReplies()
@@ -824,7 +837,7 @@
 
 std::size_t Shard::queued() const
 {
-    return std::visit([](const auto &order) { return order.size(); }, m_order);
+    return std::visit([](const auto &queue) { return queue.size(); }, m_queue);
 }
 
 std::size_t Shard::permits() const
@@ -841,9 +854,10 @@
 {
     AskView view;
     view.total = queued();
-    if (const QueuedAsk *ask = std::visit([&](const auto &order) { return order.find(key); }, m_order)) {
+    if (const QueuedAsk *ask = std::visit([&](const auto &queue) { return queue.find(key); }, m_queue)) {
         view.queued = true;
-        view.ahead = std::visit([&](const auto &order) { return order.aheadOf(ask->parameters.rank); }, m_order);
+        view.inTierOrAbove
+            = std::visit([&](const auto &queue) { return queue.countInTierOrAbove(ask->parameters.rank); }, m_queue);
     }
     if (const auto permit = m_permits.find(key); permit != m_permits.end()) {
         view.endpoint = permit->second.endpoint;
@@ -853,7 +867,7 @@
 
 std::vector<const QueuedAsk *> Shard::queuedAsks() const
 {
-    return std::visit([](const auto &order) { return order.all(); }, m_order);
+    return std::visit([](const auto &queue) { return queue.all(); }, m_queue);
 }
 
 } // namespace Yokepond::Dispatch
--- a/Source/Dispatch/soonestfirsttoken.cpp
+++ b/Source/Dispatch/soonestfirsttoken.cpp
@@ -15,51 +15,55 @@
 
 namespace {
 
-/// Part of an engine's time that prompts may take up: the tokens of all that runs there wait meanwhile.
+/// Share of an engine's time that is available for prefill. The remaining time goes to the tokens of its active runs.
 constexpr double prefillShare = 0.75;
-/// Part of an engine's memory that runs may take up; the rest keeps prompts for those to come. The most urgent tier finds
-/// room where the others do not.
+/// Share of an engine's KV cache that active runs may use. The remaining part caches prompts for later runs. The most urgent tier
+/// may use a larger share.
 constexpr double runningMemoryShare = 0.55;
 constexpr double runningMemoryShareOfMostUrgent = 0.75;
-/// Part of its target that a run may wait at the engine.
+/// Share of its first-token target that a run may wait in an engine's backlog.
 constexpr double backlogShare = 0.4;
-/// The same where most of the prompt is kept: elsewhere it would have to be read.
+/// The same for an engine that caches most of the prompt: any other engine would need a full prefill.
 constexpr double backlogShareIfCached = 0.6;
-/// Part of the target of the tiers above that all reading at an engine may take, this run's included.
+/// Limit on the backlog of an engine, including this run, so that more urgent tiers find engines in time. It is relative to the
+/// shortest first-token target of the more urgent tiers.
 constexpr double shareOfTightestAbove = 0.6;
-/// An engine with less than this to read counts as free: a prompt too long for the bounds above is sent there.
-constexpr Base::Duration freeBacklog = std::chrono::milliseconds(20);
-/// Reading a prompt again that another engine keeps costs this much more than the time it takes here: the part it displaces
-/// will be read again too.
-constexpr double repeatedPrefillFactor = 2.5;
-/// What a full window adds to the cost of an engine: each token comes slower the more run there.
-constexpr double fullWindowMs = 300.0;
-/// A run that a pause makes late costs as much as so much reading, so that long reads gather where few tight streams run and
-/// tight streams go where little is read. Where 200 ms are allowed between events, and three pieces of a prompt take about as
-/// long, it brings that class from 0.70 to 0.78 in time (trials of twelve days); a thousand gains no more there.
+/// A shorter backlog is ignored, so that a prompt that is too long for the limits above can still be placed.
+constexpr Base::Duration negligibleBacklog = std::chrono::milliseconds(20);
+/// Factor on the cost of a prefill at an engine that is not the preferred one of the prompt. The prefill may be done at the
+/// preferred engine as well, and it displaces cached prompts here, which later need another prefill.
+constexpr double nonPreferredPrefillFactor = 2.5;
+/// Cost of the load of an engine: this many milliseconds in proportion to the used share of its window. Each token takes longer
+/// with more active runs.
+constexpr double loadCostMs = 300.0;
+/// Cost of each run that a prefill pause is expected to make late, in milliseconds of prefill. It directs long prefills to
+/// engines with few streams that allow only short pauses, and such streams to engines with little prefill. For a class that
+/// allows 200 ms between events, where three chunks of a prompt take about that long, it raises the share of runs on time from
+/// 0.70 to 0.78 (trials of twelve simulated days). A cost of 1000 gives no further gain there.
 constexpr double lateRunMs = 300.0;
-/// Each run at an engine waits for its tokens while another's prompt is read.
+/// Share of the prefill time that is added to the cost for each active run, since these runs wait during a prefill.
 constexpr double interferenceFactor = 0.1;
-/// Of the latest observation, when the reading speed is learned. A run that was faster than expected shows what an engine can
-/// do; one that was slower may have met work that the model does not know of.
+/// Weight of the latest observation in the moving average of the prefill speed. A run that was faster than expected shows what
+/// the engine can do; one that was slower may have been delayed by work that the model does not know.
 constexpr double latestWeightIfFaster = 0.3;
 constexpr double latestWeightIfSlower = 0.02;
-/// The pool's speed, for engines that have shown none yet, follows that of the engine that ended a run.
+/// Weight of one engine's speed in the moving average for the pool, which is used for engines without an observation.
 constexpr double poolWeightOfOneEngine = 0.1;
-/// Of the time after which a prompt is expected to have been read: until it is over, others are not sent to take it.
+/// Factor on the expected prefill time, after which other engines may fetch the prompt.
 constexpr double prefillMargin = 1.5;
-/// Before the first byte of a move: the way to the engine that keeps the prompt and back, and its link's set-up.
+/// Time before the first byte of a transfer: a round trip to the keeper and the connection setup.
 constexpr Base::Duration transferSetupTime = std::chrono::milliseconds(10);
-/// A move must save at least this many times its own time of reading.
+/// The prefill time that a transfer saves must be longer than the transfer by this factor.
 constexpr double minTransferGain = 2.0;
-/// What a move costs beside its time: this part of the reading it saves, for the memory that is taken twice.
+/// Additional cost of a transfer, as a share of the prefill time that it saves, because the prompt then takes up memory twice.
 constexpr double transferCostFactor = 0.6;
+/// The prefill speed is learned only from runs with at least this many tokens to prefill.
 constexpr std::uint32_t minTokensToLearn = 4000;
-/// Of the belief that was logged last.
+/// An estimate is logged again when it has changed by this share of the value logged last.
 constexpr double minLoggedChange = 0.2;
 constexpr double minTokensPerMs = 4.0;
 constexpr double maxTokensPerMs = 400.0;
-/// Between an ask and the end of its reading, beside the reading itself: the way to the engine, and the first token.
+/// Time from the grant to the first token apart from the prefill: the network delay to the engine and the first decoding step.
 constexpr Base::Duration overhead = std::chrono::milliseconds(30);
 
 PromptChain chainOf(const QueuedAsk &ask)
@@ -77,8 +81,8 @@
     return std::uint64_t {ask.ask.promptTokens} + ask.ask.expectedTokens;
 }
 
-/// Where a prompt that no engine keeps is best read: the same on every host by rendezvous hashing, so that a dispatcher that
-/// takes over sends prompts where its predecessor did.
+/// Returns the preferred endpoint of the ask's prompt, where a prefill costs least if no engine has cached it. It is chosen by
+/// rendezvous hashing of the shared prefix, so a new dispatcher sends prompts to the same engines as its predecessor.
 std::uint32_t preferredEndpoint(const QueuedAsk &ask, std::span<const Candidate> candidates)
 {
     const std::uint64_t shared = sharedPrefix(ask.ask.prefix);
@@ -91,14 +95,14 @@
     return std::chrono::duration_cast<Base::Duration>(whole * share);
 }
 
-/// How much an engine may still have to read for @p ask, which takes @p reading there, to be sent to it.
+/// Returns the longest backlog that an engine may have to be given @p ask, whose own prefill takes @p prefillTime there.
 Base::Duration longestBacklog(const QueuedAsk &ask, bool mostlyCached, Base::Duration prefillTime)
 {
     Base::Duration longest = scaled(ask.parameters.firstToken, mostlyCached ? backlogShareIfCached : backlogShare);
     if (ask.parameters.tightestAbove > Base::Duration::zero()) {
         longest = std::min(longest, scaled(ask.parameters.tightestAbove, shareOfTightestAbove) - prefillTime);
     }
-    return std::max(longest, freeBacklog);
+    return std::max(longest, negligibleBacklog);
 }
 
 Base::Duration longestBacklog(const QueuedAsk &ask, std::uint32_t cachedTokens, Base::Duration ownTime)
@@ -106,7 +110,7 @@
     return longestBacklog(ask, cachedTokens * 2 > ask.ask.promptTokens, scaled(ownTime, 1.0 / prefillShare));
 }
 
-/// The most that is allowed any prompt of @p ask's class.
+/// Returns the longest backlog that is allowed for any prompt of the ask's class.
 Base::Duration longestBacklogOfClass(const QueuedAsk &ask)
 {
     return longestBacklog(ask, true, Base::Duration::zero());
@@ -120,7 +124,8 @@
     return engine == m_engines.end() ? nullptr : &engine->second;
 }
 
-/// Tokens of @p ask's prompt that @p engine keeps; no more than the prompt has, whatever its parts claim.
+/// Returns how many tokens of the ask's prompt are in the cache of @p engine. The result is at most the length of the prompt,
+/// even if the part lengths in the ask are wrong.
 std::uint32_t SoonestFirstToken::cachedTokensAt(const Engine &engine, const QueuedAsk &ask)
 {
     return std::min(ask.ask.promptTokens, engine.cache.cachedTokens(chainOf(ask)));
@@ -137,7 +142,7 @@
     return known ? fromMs(tokens / engine->tokensPerMs) : timeToPrefill(tokens);
 }
 
-/// Time until all that is read before a new prompt of @p rank has been read.
+/// Returns the prefill time that comes before a new prompt of @p rank.
 Base::Duration SoonestFirstToken::backlogOf(const Engine &engine, int rank, Base::Instant now)
 {
     Base::Duration before {};
@@ -153,8 +158,8 @@
     return backlogOf(engine, std::numeric_limits<int>::max(), now);
 }
 
-/// Streams that are expected to miss their pauses if @p engine also reads @p ask for @p reading: those that run there, and the
-/// ask's own.
+/// Returns the expected number of streams with pauses longer than allowed if @p engine also prefills @p ask for @p prefillTime.
+/// It counts the streams that run there and that of the ask itself.
 double SoonestFirstToken::expectedLateRuns(const QueuedAsk &ask, const Engine *engine, Base::Duration prefillTime,
                                            Base::Instant now) const
 {
@@ -172,20 +177,20 @@
     return engine == nullptr ? Base::Duration::zero() : backlogOf(*engine, rank, now);
 }
 
-/// Takes off what has been read by @p now.
+/// Subtracts the prefill that the engine has done by @p now.
 void SoonestFirstToken::advance(Engine &engine, Base::Instant now)
 {
     Base::Duration passed = now - engine.updatedAt;
     engine.updatedAt = now;
     for (Base::Duration &time : engine.pendingPrefill | std::views::values) {
-        const Base::Duration read = std::min(time, passed);
-        time -= read;
-        passed -= read;
+        const Base::Duration done = std::min(time, passed);
+        time -= done;
+        passed -= done;
     }
 }
 
-/// Half of a prompt, since most of one that waits is kept somewhere or soon will be.
-Base::Duration SoonestFirstToken::prefillTime(const QueuedAsk &ask) const
+/// Returns the prefill time of half of the prompt. Much of a queued prompt is cached by some engine or soon will be.
+Base::Duration SoonestFirstToken::expectedPrefillTime(const QueuedAsk &ask) const
 {
     return timeToPrefill(ask.ask.promptTokens) / 2;
 }
@@ -194,12 +199,12 @@
 {
     Keeper best;
     for (const auto &[endpoint, engine] : m_engines) {
-        if (!engine.lendsPrompts) {
+        if (!engine.allowsTransfers) {
             continue;
         }
         const std::uint32_t tokens = std::min(ask.ask.promptTokens, engine.cache.cachedTokensBy(chainOf(ask), now));
         const Base::Duration busy = std::max(Base::Duration::zero(), engine.transfersUntil - now);
-        if (tokens > best.tokens || (tokens > 0 && tokens == best.tokens && busy < best.linkBusy)) {
+        if (tokens > best.tokens || (tokens > 0 && tokens == best.tokens && busy < best.transferDelay)) {
             best = {endpoint, tokens, busy};
         }
     }
@@ -215,7 +220,7 @@
     if (candidate.transferTokensPerMs > 0 && keeper.tokens > plan.cachedTokens && keeper.endpoint != candidate.endpoint) {
         const std::uint32_t transferred = keeper.tokens - plan.cachedTokens;
         const Base::Duration transferTime
-            = keeper.linkBusy + transferSetupTime + fromMs(transferred / candidate.transferTokensPerMs);
+            = keeper.transferDelay + transferSetupTime + fromMs(transferred / candidate.transferTokensPerMs);
         if (timeToPrefill(transferred) > transferTime * minTransferGain) {
             plan.cachedTokens = keeper.tokens;
             plan.keeper = keeper.endpoint;
@@ -235,25 +240,26 @@
     Cost cost;
     cost.backlog = engine == nullptr ? Base::Duration::zero() : backlogOf(*engine, ask.parameters.rank, now);
     cost.ownTime = plan.transferTime + plan.prefillTime;
-    cost.prefillTime = scaled(plan.prefillTime, 1.0 / prefillShare);
+    cost.effectivePrefillTime = scaled(plan.prefillTime, 1.0 / prefillShare);
     cost.cachedTokens = plan.cachedTokens;
     cost.kvTokens = kvTokensFor(ask, plan);
-    // What reading costs the pool is the same everywhere: a slow engine shows by its backlog, its pauses and late first tokens.
-    const double own = Base::milliseconds(plan.transferTime + timeToPrefill(ask.ask.promptTokens - plan.cachedTokens));
-    const double readFactor = preferred || plan.keeper != 0 ? 1.0 : repeatedPrefillFactor;
-    cost.baseMs = Base::milliseconds(cost.backlog) + own * readFactor + loadOf(candidate) * fullWindowMs
-        + own * candidate.running * interferenceFactor
+    // Uses the average speed of the pool, since a prefill takes the same capacity from the pool at each engine. A slow engine
+    // still has a higher cost because of its longer backlog, its longer pauses and its late first tokens.
+    const double ownMs = Base::milliseconds(plan.transferTime + timeToPrefill(ask.ask.promptTokens - plan.cachedTokens));
+    const double prefillFactor = preferred || plan.keeper != 0 ? 1.0 : nonPreferredPrefillFactor;
+    cost.baseMs = Base::milliseconds(cost.backlog) + ownMs * prefillFactor + loadOf(candidate) * loadCostMs
+        + ownMs * candidate.running * interferenceFactor
         + Base::milliseconds(timeToPrefill(plan.transferredTokens)) * transferCostFactor;
     return cost;
 }
 
-/// Parts that are kept are there once, whatever number of runs use them; those taken from another engine are new there.
+/// Cached parts are shared by all runs that use them, so they need no further memory. Transferred parts do.
 std::uint64_t SoonestFirstToken::kvTokensFor(const QueuedAsk &ask, const PrefillPlan &plan)
 {
     return kvTokensOf(ask) - plan.cachedTokens + plan.transferredTokens;
 }
 
-/// @p memory: tokens that the run would take up.
+/// Returns whether a run that needs @p kvTokens of the KV cache fits into the share for active runs.
 bool SoonestFirstToken::fits(const QueuedAsk &ask, const Candidate &candidate, std::uint64_t kvTokens) const
 {
     const Engine *engine = engineOf(candidate.endpoint);
@@ -271,13 +277,13 @@
 {
     std::optional<std::uint32_t> best;
     double lowestCost = 0;
-    // What is late already gains nothing by waiting here.
+    // Further waiting does not help an ask that has already missed its target.
     const bool mayWait = now < ask.target();
     const Base::Duration longest = longestBacklogOfClass(ask);
     std::optional<std::uint32_t> preferred;
     std::optional<Keeper> keeper;
     for (const Candidate &candidate : candidates) {
-        // What is kept there need not be looked for where even a prompt that is kept whole would wait.
+        // With this backlog even a fully cached prompt would have to wait, so the cache need not be checked.
         if (mayWait && backlogAt(candidate.endpoint, ask.parameters.rank, now) > longest) {
             continue;
         }
@@ -291,7 +297,7 @@
             continue;
         }
         const double costMs
-            = cost.baseMs + expectedLateRuns(ask, engineOf(candidate.endpoint), cost.prefillTime, now) * lateRunMs;
+            = cost.baseMs + expectedLateRuns(ask, engineOf(candidate.endpoint), cost.effectivePrefillTime, now) * lateRunMs;
         if (!best || costMs < lowestCost) {
             best = candidate.endpoint;
             lowestCost = costMs;
@@ -311,12 +317,12 @@
     return least;
 }
 
-Base::Duration SoonestFirstToken::maxExpectedFirstToken(const QueuedAsk &ask, const LeastBacklog &least) const
+Base::Duration SoonestFirstToken::firstTokenUpperBound(const QueuedAsk &ask, const LeastBacklog &least) const
 {
     if (least.time == Base::Duration::max()) {
         return least.time;
     }
-    // A prompt that is taken from another engine comes sooner than it would be read at the pool's speed.
+    // Transfers need no term of their own, since one is used only if it takes less time than the prefill at the pool's speed.
     const std::uint32_t tokens = ask.ask.promptTokens;
     return least.time + std::max(timeToPrefill(tokens), timeToPrefill(engineOf(least.endpoint), tokens)) + overhead;
 }
@@ -359,18 +365,18 @@
                                              [](Base::Duration time) { return time == Base::Duration::zero(); });
     run.expectedFirstToken = backlog + plan.transferTime + prefillTime;
     run.rank = ask.parameters.rank;
-    run.prefillTime = scaled(prefillTime, 1.0 / prefillShare);
+    run.effectivePrefillTime = scaled(prefillTime, 1.0 / prefillShare);
     run.placedAt = now;
     run.allowedPause = ask.parameters.tokenGap;
     const Base::Duration burst = backlogOf(engine, now);
-    engine.pauses.recordPrefill(now, burst, burst + run.prefillTime);
+    engine.pauses.recordPrefill(now, burst, burst + run.effectivePrefillTime);
     engine.pauses.addStream(run.allowedPause);
-    engine.pendingPrefill[run.rank] += run.prefillTime;
-    engine.activePrefill[run.rank] += run.prefillTime;
+    engine.pendingPrefill[run.rank] += run.effectivePrefillTime;
+    engine.prefillOfActiveRuns[run.rank] += run.effectivePrefillTime;
     engine.runningTokens += run.kvTokens;
-    engine.cache.insert(chainOf(ask), now + scaled(backlog + plan.transferTime + run.prefillTime, prefillMargin));
+    engine.cache.insert(chainOf(ask), now + scaled(backlog + plan.transferTime + run.effectivePrefillTime, prefillMargin));
     if (candidate.kvCacheTokens > 0) {
-        // Runs and kept prompts share the memory; what runs does not give way.
+        // Active runs and cached prompts share the memory, and active runs are not evicted.
         engine.cache.shrink(candidate.kvCacheTokens - std::min(candidate.kvCacheTokens, engine.runningTokens));
     }
     return run;
@@ -386,14 +392,15 @@
     engine->second.pauses.removeStream(run.allowedPause, run.placedAt + seen.first, seen.pauses);
     logLongestPause(run, seen);
     if (seen.first > Base::Duration::zero() && run.reliabilityEpoch == engine->second.reliabilityEpoch) {
-        engine->second.lendsPrompts = true;
+        engine->second.allowsTransfers = true;
     }
-    // What an ended run left unread will not be read: there is no more to read than the prompts of those under way.
-    Base::Duration &activePrefill = engine->second.activePrefill[run.rank];
-    activePrefill = std::max(Base::Duration::zero(), activePrefill - run.prefillTime);
+    // An engine drops the remaining prefill of a run that has ended, so the pending prefill cannot exceed that of the active
+    // runs.
+    Base::Duration &prefillOfActiveRuns = engine->second.prefillOfActiveRuns[run.rank];
+    prefillOfActiveRuns = std::max(Base::Duration::zero(), prefillOfActiveRuns - run.effectivePrefillTime);
     Base::Duration &pendingPrefill = engine->second.pendingPrefill[run.rank];
-    pendingPrefill = std::min(pendingPrefill, activePrefill);
-    // Behind other prompts the time tells of the model's errors rather than of the engine's speed.
+    pendingPrefill = std::min(pendingPrefill, prefillOfActiveRuns);
+    // If the run waited for other prompts, its time shows errors of the model rather than the speed of the engine.
     if (run.wasOnlyPrefill && seen.first > Base::Duration::zero() && run.prefillTokens >= minTokensToLearn) {
         updatePrefillSpeed(engine->second, run, seen.first);
     }
@@ -417,7 +424,7 @@
 {
     const Base::Duration prefillTime = std::max(firstToken - overhead, firstToken / 2);
     const double ratio = std::clamp(Base::milliseconds(run.expectedFirstToken) / Base::milliseconds(prefillTime), 0.5, 2.0);
-    // What was expected was expected at the speed believed when the run was placed, which is about the present one.
+    // The expected time was computed with the speed estimated when the run was placed, which is close to the present estimate.
     const auto learned = [&](double estimated) {
         const double change = estimated * ratio - estimated;
         const double share = change > 0 ? latestWeightIfFaster : latestWeightIfSlower;
@@ -436,12 +443,13 @@
     }
 }
 
-/// An engine that fails some runs still keeps its prompts. One that starts anew has a new name where the platform says so, and
-/// elsewhere shows by its next runs' first-token times what it lost.
+/// Stops transfers from the engine, but keeps the estimate of its cache: an engine that fails some runs still has its prompts. An
+/// engine that restarts becomes a new endpoint where the platform reports restarts. Elsewhere, higher first-token times of its
+/// next runs show that it has lost its cache.
 void SoonestFirstToken::markUnreliable(std::uint32_t endpoint)
 {
     if (const auto engine = m_engines.find(endpoint); engine != m_engines.end()) {
-        engine->second.lendsPrompts = false;
+        engine->second.allowsTransfers = false;
         ++engine->second.reliabilityEpoch;
     }
 }
