--- a/Source/Request/home.cpp
+++ b/Source/Request/home.cpp
@@ -509,9 +509,9 @@
     enforceQuarantine(now);
 }
 
-void Home::receive(Instant now, const std::string &from, const Peer::QuarantineNews &news)
+void Home::receive(Instant now, const std::string &from, const Peer::QuarantineNews &update)
 {
-    m_quarantine.receive(now, from, news);
+    m_quarantine.receive(now, from, update);
     enforceQuarantine(now);
 }
 
--- a/Source/Request/home.h
+++ b/Source/Request/home.h
@@ -90,7 +90,7 @@
     void receive(Base::Instant now, const std::string &from, const Peer::Refusal &refusal);
     void receive(Base::Instant now, const std::string &from, const Peer::Queued &queued);
     void receive(Base::Instant now, const std::string &from, const Peer::RunBroke &broke);
-    void receive(Base::Instant now, const std::string &from, const Peer::QuarantineNews &news);
+    void receive(Base::Instant now, const std::string &from, const Peer::QuarantineNews &update);
 
     /// Applies what the head of a response from @p endpoint advertises, and informs the dispatcher if that is new.
     void endpointAdvertised(Base::Instant now, const Peer::AttemptId &id, std::uint32_t endpoint,
--- a/Tests/Request/fleetloadtest.cpp
+++ b/Tests/Request/fleetloadtest.cpp
@@ -28,11 +28,11 @@
 
 void print(const char *pattern, std::uint64_t seed, const FleetLoadCounts &counts)
 {
-    fmt::print(
-        "{}, seed {}: offered {}, in time {}, late {}, refused {}, failed {}, arrivals {}, rejected {}, local {}, read again "
-        "{} k tokens, most at one engine {}\n",
-        pattern, seed, counts.offered, counts.inTime, counts.late, counts.refused, counts.failed, counts.arrivals,
-        counts.rejected, counts.localRuns, counts.prefilledAgain / 1000, counts.maxAtOneEngine);
+    fmt::print("{}, seed {}: offered {}, in time {}, late {}, refused {}, failed {}, arrivals {}, rejected {}, local {}, "
+               "prefilled again "
+               "{} k tokens, most at one engine {}\n",
+               pattern, seed, counts.offered, counts.inTime, counts.late, counts.refused, counts.failed, counts.arrivals,
+               counts.rejected, counts.localRuns, counts.prefilledAgain / 1000, counts.maxAtOneEngine);
 }
 
 void printRate(const FleetLoadCounts &counts)
@@ -144,8 +144,8 @@
 }
 
 /// Pattern: every 1.5 s some engines crash and one of the dispatchers is lost. Dispatchers count the retries, and a successor
-/// does not know how many were spent. All retries together must stay within the budget of the whole time, which is less than the
-/// sum of its windows' budgets.
+/// does not know how many were spent. All retries together must stay within the budget of the whole test, which is less than the
+/// sum of the budgets of its windows.
 TEST(FleetLoad, retriesStayWithinTheBudgetAcrossDispatcherChanges)
 {
     constexpr std::uint64_t slack = 56;
