--- a/Source/Availability/endpointavailabilities.cpp
+++ b/Source/Availability/endpointavailabilities.cpp
@@ -12,8 +12,8 @@
 
 void EndpointAvailabilities::updateView(const Configuration::Catalogue &catalogue)
 {
-    m_leavingTimeout = catalogue.policies().leavingKept;
-    std::erase_if(m_unreadable, [&](std::uint32_t endpoint) { return catalogue.endpointNumbered(endpoint) == nullptr; });
+    m_leavingTimeout = catalogue.policies().leavingTimeout;
+    std::erase_if(m_unreadable, [&](std::uint32_t endpoint) { return catalogue.endpointByNumber(endpoint) == nullptr; });
 }
 
 bool EndpointAvailabilities::applyAdvertisement(Instant now, std::uint32_t endpoint, const AdvertisedAvailability &advertised)
@@ -28,10 +28,10 @@
     }
     AvailabilityState &state = m_states[endpoint];
     if (advertised.leaves && !state.isLeaving(now)) {
-        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaves, {{"endpoint", endpoint}, {"source", "answer"}});
+        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointLeaving, {{"endpoint", endpoint}, {"source", "answer"}});
     }
     if (advertised.cooldown > Duration::zero()) {
-        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointRests,
+        Base::log(Base::LogLevel::Info, Base::LogEvent::EndpointCooldown,
                   {{"endpoint", endpoint},
                    {"for-ms", Base::milliseconds(advertised.cooldown)},
                    {"rested", state.isCoolingDown(now)},
--- a/Source/Availability/endpointavailabilities.h
+++ b/Source/Availability/endpointavailabilities.h
@@ -37,7 +37,7 @@
     void tick(Base::Instant now);
 
 private:
-    Base::Duration m_leavingTimeout = Configuration::Policies().leavingKept;
+    Base::Duration m_leavingTimeout = Configuration::Policies().leavingTimeout;
     std::map<std::uint32_t, AvailabilityState> m_states; ///< by endpoint
     std::set<std::uint32_t> m_unreadable; ///< endpoints whose last headers were unreadable
 };
--- a/Source/Request/home.cpp
+++ b/Source/Request/home.cpp
@@ -54,7 +54,7 @@
 /// Carries no Retry-After, since a retry would crash another endpoint.
 absl::Status quarantineError()
 {
-    return makeError(ErrorKind::EndsEndpoints,
+    return makeError(ErrorKind::CrashesEndpoints,
                      "endpoints crashed while they ran this request; it is quarantined and must not be repeated");
 }
 
@@ -82,11 +82,11 @@
     case RunStage::NotSent:
         return RunResult::Unreachable;
     case RunStage::Rejected:
-        return RunResult::Refused;
+        return RunResult::Rejected;
     case RunStage::EndpointReplaced:
         return RunResult::EndpointReplaced;
     case RunStage::Sent:
-        return report.status >= minErrorStatus ? RunResult::AnsweredError : RunResult::Failed;
+        return report.status >= minErrorStatus ? RunResult::ErrorResponse : RunResult::Failed;
     case RunStage::ResponseComplete:
         return RunResult::Completed;
     }
@@ -125,7 +125,7 @@
     m_hosts = members.size();
     m_rates.updateView(*m_catalogue);
     m_availabilities.updateView(*m_catalogue);
-    m_quarantine.updateView(now, members, m_catalogue->policies().mostEndings);
+    m_quarantine.updateView(now, members, m_catalogue->policies().maxCrashes);
     m_unreachable.clear();
     for (const Peer::Member &member : members) {
         if (member.state == Peer::MemberState::Suspect) {
@@ -156,7 +156,7 @@
 void Home::start(Instant now, const NewRequest &request)
 {
     ++m_counters.arrived;
-    const Configuration::RequestClass *requestClass = m_catalogue->classNumbered(request.requestClass);
+    const Configuration::RequestClass *requestClass = m_catalogue->classByNumber(request.requestClass);
     if (requestClass == nullptr) {
         ++m_counters.failed;
         m_actions.emplace_back(
@@ -244,7 +244,7 @@
         return;
     }
     const std::vector<std::uint64_t> &prefix = pending.request.prefix;
-    const std::uint64_t prefixHash = prefix.empty() ? m_random() : Dispatch::sharedBeginning(prefix);
+    const std::uint64_t prefixHash = prefix.empty() ? m_random() : Dispatch::sharedPrefix(prefix);
     std::set<std::uint32_t> unavailable
         = m_rates.unavailableWithoutDispatcher(now, shard->endpoints, std::max(m_hosts, minSharingHosts), m_random);
     unavailable.merge(m_availabilities.unavailableEndpoints(now));
@@ -266,7 +266,7 @@
 /// Starts a run at @p endpoint. @p keeper is an endpoint that has a prefix of the prompt in its cache, 0 for none.
 void Home::beginRun(Instant now, Pending &pending, std::uint32_t endpoint, Instant startBy, std::uint32_t keeper)
 {
-    Base::require(pending.classSettings.repeatable || !pending.mayHaveRun, Base::Invariant::RunOnce);
+    Base::checkInvariant(pending.classSettings.repeatable || !pending.mayHaveRun, Base::Invariant::RunOnce);
     pending.phase = Phase::Running;
     pending.endpoint = endpoint;
     ++pending.runs;
@@ -274,7 +274,7 @@
     pending.misdirectedRefusals = 0;
     m_localWindow.runStarted(endpoint);
     const auto nameOf = [this](std::uint32_t number) {
-        const Configuration::Endpoint *object = m_catalogue->endpointNumbered(number);
+        const Configuration::Endpoint *object = m_catalogue->endpointByNumber(number);
         return object == nullptr ? std::string("?") : object->name;
     };
     if (m_availabilities.stateOf(keeper).isLeaving(now)) {
@@ -384,8 +384,8 @@
 void Home::sendEndpointUpdate(Instant now, const Pending &pending, std::uint32_t endpoint)
 {
     m_actions.emplace_back(SendToMember {pending.dispatcher,
-                                         Peer::EndpointNews {pending.shard, endpoint, m_rates.stateOf(endpoint).info(now),
-                                                             m_availabilities.stateOf(endpoint).info(now)}});
+                                         Peer::EndpointUpdate {pending.shard, endpoint, m_rates.stateOf(endpoint).info(now),
+                                                               m_availabilities.stateOf(endpoint).info(now)}});
 }
 
 void Home::receive(Instant now, const std::string &from, const Peer::Refusal &refusal)
@@ -509,7 +509,7 @@
     enforceQuarantine(now);
 }
 
-void Home::receive(Instant now, const std::string &from, const Peer::QuarantineNews &update)
+void Home::receive(Instant now, const std::string &from, const Peer::QuarantineUpdate &update)
 {
     m_quarantine.receive(now, from, update);
     enforceQuarantine(now);
@@ -536,7 +536,7 @@
 bool Home::mayRetry(const Pending &pending, const RunReport &report) const
 {
     const bool canResume = !report.callerSawBytes || pending.classSettings.resumable;
-    const bool runsLeft = pending.attempt < maxAttempts && pending.sentRuns < pending.classSettings.mostRuns;
+    const bool runsLeft = pending.attempt < maxAttempts && pending.sentRuns < pending.classSettings.maxRuns;
     const bool quarantined = m_quarantine.isQuarantined(pending.request.work);
     return canResume && runsLeft && !quarantined && (pending.classSettings.repeatable || !pending.mayHaveRun);
 }
@@ -574,8 +574,9 @@
 Base::TokenBucket &Home::retryBudget(const Pending &pending)
 {
     const Configuration::Policies &policies = m_catalogue->policies();
-    const double hosts = policies.retriesAreShared ? static_cast<double>(std::max(m_hosts, minSharingHosts)) : 1.0;
-    return m_retryBudgets.try_emplace(pending.classSettings.pool, policies.retryReserve / hosts, policies.mostRetries / hosts)
+    const double hosts = policies.retryBudgetIsShared ? static_cast<double>(std::max(m_hosts, minSharingHosts)) : 1.0;
+    return m_retryBudgets
+        .try_emplace(pending.classSettings.pool, policies.initialRetryBudget / hosts, policies.maxRetryBudget / hosts)
         .first->second;
 }
 
@@ -591,7 +592,7 @@
     if (pending == nullptr) {
         return;
     }
-    addTraceEntry(*pending, now, Step::CallerGone, {});
+    addTraceEntry(*pending, now, Step::CallerDisconnected, {});
     if (pending->phase == Phase::Running) {
         // The relay has cancelled the run and will report its end.
         return;
--- a/Source/Request/quarantine.cpp
+++ b/Source/Request/quarantine.cpp
@@ -92,7 +92,7 @@
     }
     ++m_counters.suspected;
     const Peer::RunBroke broke {work, endpoint, justBegan};
-    for (const std::string &host : Membership::picked(Base::hexadecimal(work), m_members, countingHosts)) {
+    for (const std::string &host : Membership::selectMembers(Base::hexadecimal(work), m_members, countingHosts)) {
         if (host == m_self) {
             recordCrash(now, broke);
         } else {
@@ -193,7 +193,7 @@
     m_newlyQuarantined.push_back(work);
     std::vector<std::uint32_t> endpoints;
     std::ranges::transform(suspicion.crashes, std::back_inserter(endpoints), &Crash::endpoint);
-    Base::log(Base::LogLevel::Warning, Base::LogEvent::WorkHeld,
+    Base::log(Base::LogLevel::Warning, Base::LogEvent::WorkQuarantined,
               {{"work", Base::hexadecimal(work)},
                {"round", entry.round},
                {"endpoints", endpoints},
@@ -223,7 +223,7 @@
     return update.round > current.round || cleared;
 }
 
-void Quarantine::receive(Instant now, const std::string &from, const Peer::QuarantineNews &update)
+void Quarantine::receive(Instant now, const std::string &from, const Peer::QuarantineUpdate &update)
 {
     std::ranges::for_each(update.entries, [&](const Peer::QuarantineEntry &entry) { applyEntry(now, from, entry); });
     if (update.digest != digest() && now - m_lastFullReply >= minReplyInterval) {
@@ -239,7 +239,7 @@
         return;
     }
     Entry &entry = m_entries[update.work];
-    entry = {update.round, update.quarantined, now - update.firstEndingAge, now + std::min(update.remaining, quarantineDuration)};
+    entry = {update.round, update.quarantined, now - update.firstCrashAge, now + std::min(update.remaining, quarantineDuration)};
     if (!update.quarantined) {
         forget(update.work);
         std::erase(m_newlyQuarantined, update.work);
@@ -248,11 +248,11 @@
         removeExpired(now);
         return;
     }
-    Base::log(Base::LogLevel::Warning, Base::LogEvent::WorkHeld,
+    Base::log(Base::LogLevel::Warning, Base::LogEvent::WorkQuarantined,
               {{"work", Base::hexadecimal(update.work)},
                {"round", update.round},
                {"from", from},
-               {"first-s-ago", Base::seconds(update.firstEndingAge)},
+               {"first-s-ago", Base::seconds(update.firstCrashAge)},
                {"for-s", Base::seconds(update.remaining)}});
     ++m_counters.quarantined;
     if (recentlyCompleted(update.work, entry.firstCrash)) {
@@ -268,9 +268,9 @@
     return {work, entry.round, entry.quarantined, now - entry.firstCrash, entry.until - now};
 }
 
-Peer::QuarantineNews Quarantine::allEntries(Instant now) const
+Peer::QuarantineUpdate Quarantine::allEntries(Instant now) const
 {
-    Peer::QuarantineNews update {digest(), {}};
+    Peer::QuarantineUpdate update {digest(), {}};
     std::ranges::transform(m_entries, std::back_inserter(update.entries),
                            [&](const auto &entry) { return messageEntry(now, entry.first, entry.second); });
     return update;
@@ -280,13 +280,13 @@
 {
     return std::accumulate(m_entries.begin(), m_entries.end(), std::uint64_t {0}, [](std::uint64_t sum, const auto &entry) {
         const std::uint64_t state = std::uint64_t {entry.second.round} * 2 + (entry.second.quarantined ? 1 : 0);
-        return sum ^ Base::mixed(entry.first, state);
+        return sum ^ Base::combineHashes(entry.first, state);
     });
 }
 
 void Quarantine::sendToAll(Instant now, std::uint64_t work)
 {
-    const Peer::QuarantineNews update {digest(), {messageEntry(now, work, m_entries.at(work))}};
+    const Peer::QuarantineUpdate update {digest(), {messageEntry(now, work, m_entries.at(work))}};
     for (const Peer::Member &member : m_members) {
         if (member.name != m_self) {
             m_messages.push_back({member.name, update});
@@ -304,7 +304,7 @@
     if (m_members[m_nextMember].name == m_self) {
         m_nextMember = (m_nextMember + 1) % m_members.size();
     }
-    m_messages.push_back({m_members[m_nextMember].name, Peer::QuarantineNews {digest(), {}}});
+    m_messages.push_back({m_members[m_nextMember].name, Peer::QuarantineUpdate {digest(), {}}});
     m_nextGossip = now + gossipInterval;
 }
 
--- a/Source/Request/quarantine.h
+++ b/Source/Request/quarantine.h
@@ -65,7 +65,7 @@
 
     /// Handles a message of another host's quarantine; @p from is the sender.
     void receive(Base::Instant now, const std::string &from, const Peer::RunBroke &broke);
-    void receive(Base::Instant now, const std::string &from, const Peer::QuarantineNews &update);
+    void receive(Base::Instant now, const std::string &from, const Peer::QuarantineUpdate &update);
 
     /// Removes expired entries and sends digests to other hosts; to be called regularly.
     void tick(Base::Instant now);
@@ -113,7 +113,7 @@
     void sendToAll(Base::Instant now, std::uint64_t work);
     void sendToNextMember(Base::Instant now);
     Peer::QuarantineEntry messageEntry(Base::Instant now, std::uint64_t work, const Entry &entry) const;
-    Peer::QuarantineNews allEntries(Base::Instant now) const;
+    Peer::QuarantineUpdate allEntries(Base::Instant now) const;
     std::uint64_t digest() const;
     void removeExpired(Base::Instant now);
 
--- a/Source/Request/shardchoice.cpp
+++ b/Source/Request/shardchoice.cpp
@@ -31,7 +31,7 @@
 /// to prefill all of them.
 std::uint64_t affinityHash(const NewRequest &request)
 {
-    return request.prefix.empty() ? Base::hash64(fmt::format("{}", request.id)) : Dispatch::sharedBeginning(request.prefix);
+    return request.prefix.empty() ? Base::hash64(fmt::format("{}", request.id)) : Dispatch::sharedPrefix(request.prefix);
 }
 
 } // namespace
--- a/Source/Scaling/scaler.h
+++ b/Source/Scaling/scaler.h
@@ -60,7 +60,7 @@
 {
     std::uint64_t fence = 0;
     Order order;
-    Base::Duration within {};
+    Base::Duration timeout {};
 };
 
 using ScalerAction = std::variant<ReadRow, WriteRow, SendOrder>;
@@ -89,8 +89,8 @@
 
 struct ScalerOptions
 {
-    Lease::LeaseTerms lease;
-    bool dry = false; ///< only tells what it would order
+    Lease::LeaseOptions lease;
+    bool dryRun = false; ///< only tells what it would order
 };
 
 /// Pure state machine: one on each host.
@@ -105,10 +105,10 @@
                                    bool idle);
 
     /// Version 0: there is no row; nothing: the store did not answer.
-    void rowRead(Base::Instant now, const std::optional<Lease::StoredRow> &row);
-    void rowWritten(Base::Instant now, Lease::WriteResult result, std::uint64_t version,
-                    const std::optional<Lease::StoredRow> &row);
-    void ordered(Base::Instant now, const Order &order, OrderResult result);
+    void onRowRead(Base::Instant now, const std::optional<Lease::StoredRow> &row);
+    void onRowWritten(Base::Instant now, Lease::WriteResult result, std::uint64_t version,
+                      const std::optional<Lease::StoredRow> &row);
+    void onOrdered(Base::Instant now, const Order &order, OrderResult result);
 
     bool isHolder() const;
     ScalerView view(Base::Instant now) const;
@@ -121,7 +121,7 @@
     };
 
     std::vector<Order> wantedOrders(Base::Instant now, const std::vector<ScaledPool> &pools, bool idle);
-    bool mayRepeat(Base::Instant now, const Order &order, Base::Duration start) const;
+    bool mayRepeat(Base::Instant now, const Order &order, Base::Duration startupTime) const;
     void noteBases(Base::Instant now, const std::vector<ScaledPool> &pools);
     std::uint32_t baseOf(const std::string &pool) const;
     void takeRow(Base::Instant now, const Lease::StoredRow &row);
--- a/Tests/Availability/endpointavailabilitiestest.cpp
+++ b/Tests/Availability/endpointavailabilitiestest.cpp
@@ -53,7 +53,7 @@
 TEST(EndpointAvailabilities, leavingExpiresAfterItsTimeout)
 {
     Configuration::CatalogueParts parts;
-    parts.policies.leavingKept = std::chrono::seconds(5);
+    parts.policies.leavingTimeout = std::chrono::seconds(5);
     availabilities.updateView(*Configuration::Catalogue::assemble(std::move(parts)));
     availabilities.applyAdvertisement(at(0), 7, {.leaves = true});
     availabilities.applyAdvertisement(at(2), 7, {.leaves = true});
--- a/Tests/Request/fleetload.h
+++ b/Tests/Request/fleetload.h
@@ -40,9 +40,9 @@
     std::uint32_t slots = 32;
     std::uint32_t engineQueue = 67; ///< queue length of an engine; it rejects further requests
     double prefillTokensPerMs = 36.7; ///< prefill speed of an engine
-    std::uint64_t memoryTokens = 506'735;
+    std::uint64_t kvCacheTokens = 506'735;
     /// Transfer speed of a cached prefix over an engine's link of 180 Gbit/s at 18,432 bytes per token.
-    double movedTokensPerMs = 1220.0;
+    double transferTokensPerMs = 1220.0;
     Base::Duration eventInterval = std::chrono::milliseconds(70); ///< time between the events of a stream
     Base::Duration messageDelay = std::chrono::microseconds(900); ///< delay of a message between two hosts
     Base::Duration engineRestart = std::chrono::milliseconds(3300); ///< restart time of an engine that a request crashed
@@ -54,9 +54,9 @@
                                       .ejectSlow = false,
                                       .refuseLate = true,
                                       .retryPercent = 20,
-                                      .retryReserve = 252.0,
-                                      .mostRetries = 252.0,
-                                      .retriesAreShared = true,
+                                      .initialRetryBudget = 252.0,
+                                      .maxRetryBudget = 252.0,
+                                      .retryBudgetIsShared = true,
                                       .wholePoolShards = true};
 };
 
@@ -349,7 +349,7 @@
             requestClass.deadline = stream.deadline;
             requestClass.starvationBound = stream.deadline / 2;
             requestClass.deadlineEndsRun = true;
-            requestClass.mostRuns = 2;
+            requestClass.maxRuns = 2;
             parts.classes.push_back(requestClass);
         }
         for (std::size_t index = 0; index < m_options.engines; ++index) {
@@ -358,8 +358,8 @@
             endpoint.name = fmt::format("e{}", index);
             endpoint.pool = poolNumber;
             endpoint.slots = m_options.slots;
-            endpoint.memoryTokens = m_options.memoryTokens;
-            endpoint.movedTokensPerMs = m_options.movedTokensPerMs;
+            endpoint.kvCacheTokens = m_options.kvCacheTokens;
+            endpoint.transferTokensPerMs = m_options.transferTokensPerMs;
             parts.endpoints.push_back(endpoint);
         }
         m_catalogue = Configuration::Catalogue::assemble(std::move(parts));
@@ -507,7 +507,7 @@
             const auto call = m_calls.find(fail->request);
             const bool isOther = call != m_calls.end() && !m_streams[call->second.stream].crashesEngines;
             m_counts.othersRefused += notRun && isOther ? 1 : 0;
-            const bool quarantined = Base::errorKind(fail->error) == Base::ErrorKind::EndsEndpoints;
+            const bool quarantined = Base::errorKind(fail->error) == Base::ErrorKind::CrashesEndpoints;
             m_counts.othersQuarantined += quarantined && isOther ? 1 : 0;
             m_calls.erase(fail->request);
         }
