--- a/Source/Rate/ratelimiter.cpp
+++ b/Source/Rate/ratelimiter.cpp
@@ -32,7 +32,7 @@
 {
     const bool wasLimited = isLimited();
     // The balance so far was earned at the previous rate. Runs that started before the first limit was known were not counted, so
-    // that a new limit starts with an empty bucket.
+    // a new limit starts with an empty bucket.
     const double balanceBefore = wasLimited ? balance(now) : 0.0;
     const bool changed = m_rate.applyUpdate(update);
     if (isLimited()) {
@@ -73,9 +73,9 @@
 double RateLimiter::balance(Base::Instant now) const
 {
     const Base::Instant sharedUntil = std::clamp(m_sharedUntil, m_updatedAt, std::max(m_updatedAt, now));
-    const double whileShared = Base::seconds(sharedUntil - m_updatedAt) * usedShareOfSharedLimit;
-    const double unshared = Base::seconds(std::max(now, sharedUntil) - sharedUntil);
-    return std::min(capacity(), m_balance + enforcedRate(m_rate) * (whileShared + unshared));
+    const double weightedSharedSeconds = Base::seconds(sharedUntil - m_updatedAt) * usedShareOfSharedLimit;
+    const double unsharedSeconds = Base::seconds(std::max(now, sharedUntil) - sharedUntil);
+    return std::min(capacity(), m_balance + enforcedRate(m_rate) * (weightedSharedSeconds + unsharedSeconds));
 }
 
 } // namespace Yokepond::Rate
--- a/Source/Rate/ratelimiter.h
+++ b/Source/Rate/ratelimiter.h
@@ -13,8 +13,8 @@
 
 namespace Yokepond::Rate {
 
-/// Lowest enforced rate in runs per second. An endpoint that receives no requests cannot advertise that its limit has ended, so
-/// that one with a lower limit still receives a run now and then.
+/// Lowest enforced rate in runs per second. An endpoint that receives no requests cannot advertise that its limit has ended.
+/// Therefore one with a lower limit, even 0, still receives runs at this rate.
 inline constexpr double minRate = 0.25;
 
 /// Returns the rate that is enforced for @p state, in runs per second; @p state must be limited.
@@ -24,7 +24,8 @@
 class RateLimiter
 {
 public:
-    /// Until @p sharedUntil another host may still start runs by a count of its own, so that only half of the limit is used.
+    /// Until @p sharedUntil another host, such as the previous dispatcher, may still grant runs with a limiter of its own. Until
+    /// then only half of the rate is used.
     explicit RateLimiter(Base::Instant sharedUntil = {});
 
     /// Adopts @p update if it is newer. Returns whether that changes the limit.
--- a/Source/Request/home.cpp
+++ b/Source/Request/home.cpp
@@ -31,24 +31,24 @@
 constexpr Duration reportInterval = std::chrono::seconds(5);
 constexpr Duration askRepeatDelay = std::chrono::seconds(2);
 /// A dispatcher that neither replies to an ask nor confirms that it is queued within this time is bypassed. The time is longer
-/// than a host that has used up its processor quota is throttled, which is the rest of a period of 100 ms.
+/// than the pause of a dispatcher that has used up its processor quota: it is throttled until its quota period of 100 ms ends.
 constexpr Duration dispatcherTimeout = std::chrono::milliseconds(150);
 /// Delay before another ask where all endpoints of a pool have failed; they are probed again after about this time.
 constexpr Duration endpointsDownBackoff = std::chrono::milliseconds(250);
-/// Shortest Retry-After: another host can accept the request at once.
+/// Retry-After of requests that fail because this host shuts down: another host can accept them at once.
 constexpr Duration minRetryAfter = std::chrono::milliseconds(1);
 constexpr Duration initialBackoff = std::chrono::milliseconds(20);
-/// Consecutive refusals by hosts that do not consider themselves the dispatcher, after which the home bypasses the dispatcher:
-/// after a restart of the whole fleet, views differ for seconds.
+/// Consecutive refusals because of differing views (the receiver is not the dispatcher in its own view, or does not know the
+/// class) after which the home bypasses the dispatcher. After a restart of the whole fleet, views differ for seconds.
 constexpr unsigned int maxMisdirected = 2;
 constexpr double percent = 100.0;
-/// A run that broke off after at most this many events counts as just begun.
-constexpr std::uint32_t maxEventsJustBegan = 2;
-/// The rate information of two hosts may differ by what is in flight between them. This host's information counts as newer only
-/// if the endpoint advertised it later by more than this.
-constexpr Duration rateUpdateDelay = std::chrono::milliseconds(50);
-/// Smallest number of hosts among which a shared budget is divided. A host that has just started may not know the others yet and
-/// must not take their shares.
+/// A run that broke off after at most this many tokens, as the relay counts them in the stream, counts as just begun.
+constexpr std::uint32_t maxTokensJustBegan = 2;
+/// The rate information of two hosts may differ while messages between them are in flight. This host's information counts as
+/// newer only if the endpoint advertised it later by more than this tolerance.
+constexpr Duration rateTimeTolerance = std::chrono::milliseconds(50);
+/// Smallest number of hosts among which a retry budget or the turns at a limited endpoint are divided. A host that has just
+/// started may not know the others yet and must not take their shares.
 constexpr std::size_t minSharingHosts = 6;
 
 /// Carries no Retry-After, since a retry would crash another endpoint.
@@ -136,7 +136,7 @@
     std::vector<std::uint64_t> ids;
     std::ranges::copy(m_pending | std::views::keys, std::back_inserter(ids));
     for (const std::uint64_t id : ids) {
-        // requestEndpoint() may remove other entries of m_pending, so that the loop runs over a copy of the ids.
+        // requestEndpoint() may end the request and remove it from m_pending, so the loop runs over a copy of the ids.
         Pending &pending = m_pending.at(id);
         const ShardInfo *info = m_shards->find(pending.shard);
         const bool same = info != nullptr && info->dispatcher == pending.dispatcher;
@@ -259,7 +259,7 @@
     // the dispatcher's queue.
     withdraw(pending);
     ++pending.attempt;
-    addTraceEntry(pending, now, Step::LocalWindow, fmt::format("dispatcher {} is unreachable", pending.dispatcher));
+    addTraceEntry(pending, now, Step::LocalWindow, fmt::format("bypassing dispatcher {}", pending.dispatcher));
     beginRun(now, pending, *endpoint, now + std::chrono::seconds(1));
 }
 
@@ -280,7 +280,7 @@
     if (m_availabilities.stateOf(keeper).isLeaving(now)) {
         keeper = 0;
     }
-    const std::string transferNote = keeper == 0 ? "" : fmt::format(", prompt prefix transferred from {}", nameOf(keeper));
+    const std::string transferNote = keeper == 0 ? "" : fmt::format(", transferring a prompt prefix from {}", nameOf(keeper));
     addTraceEntry(pending, now, Step::Started, fmt::format("endpoint {}{}", nameOf(endpoint), transferNote));
     // A dispatcher that enforces a limit must be informed when the limit ends.
     const bool reportRate = pending.grantedRate.isLimited() || m_rates.stateOf(endpoint).isLimited();
@@ -348,8 +348,8 @@
     beginRun(now, *pending, grant.endpoint, grant.startBy, grant.keeper);
 }
 
-/// Returns a grant that rests on outdated information and asks again. If the dispatcher repeats its mistake, the next ask is
-/// delayed and avoids the endpoint.
+/// Returns a grant that the dispatcher gave with outdated information, and asks again. If the dispatcher repeats its mistake, the
+/// next ask is delayed and avoids the endpoint.
 void Home::returnGrant(Instant now, Pending &pending, const Peer::Grant &grant, std::string reason)
 {
     ++m_counters.returnedGrants;
@@ -372,8 +372,8 @@
     const Rate::RateState ownRate = m_rates.stateOf(grant.endpoint);
     const Rate::RateState dispatcherRate = Rate::rateStateFrom(grant.rate, now);
     m_rates.applyUpdate(grant.endpoint, dispatcherRate);
-    const bool isNewer
-        = dispatcherRate.kind == Rate::RateKind::Unknown || ownRate.advertisedAt > dispatcherRate.advertisedAt + rateUpdateDelay;
+    const bool isNewer = dispatcherRate.kind == Rate::RateKind::Unknown
+        || ownRate.advertisedAt > dispatcherRate.advertisedAt + rateTimeTolerance;
     if (!ownRate.isLimited() || ownRate.agreesWith(dispatcherRate) || !isNewer) {
         return false;
     }
@@ -474,7 +474,7 @@
     const RunResult result = runResultFor(report);
     release(*pending, report, result);
     addTraceEntry(*pending, now, Step::Ended,
-                  fmt::format("{}, status {}, {} tokens, first after {:.1f} ms, gap {:.2f} ms, longest {:.0f} ms",
+                  fmt::format("{}, status {}, {} tokens, first token after {:.1f} ms, mean gap {:.2f} ms, longest gap {:.0f} ms",
                               Base::nameOf(Peer::runResultNames, result), report.status, report.tokens,
                               Base::milliseconds(report.firstToken), Base::milliseconds(report.gap),
                               Base::milliseconds(report.longestGap)));
@@ -498,7 +498,7 @@
         m_quarantine.runCompleted(now, pending.request.work);
     } else if (connectionBroke(report)) {
         // A response that is not streamed does not show whether the run had begun.
-        const bool justBegan = !pending.request.streams || (report.status != 0 && report.tokens <= maxEventsJustBegan);
+        const bool justBegan = !pending.request.streams || (report.status != 0 && report.tokens <= maxTokensJustBegan);
         m_quarantine.runBroke(now, pending.request.work, pending.endpoint, justBegan);
     }
 }
@@ -515,8 +515,8 @@
     enforceQuarantine(now);
 }
 
-/// Sends the messages of the quarantine and ends all requests whose work has been quarantined: one that waits at an endpoint
-/// would crash that too.
+/// Sends the messages of the quarantine and ends all requests whose work has been quarantined: a request that is queued at an
+/// endpoint would crash that endpoint too.
 void Home::enforceQuarantine(Instant now)
 {
     std::ranges::move(m_quarantine.takeMessages(), std::back_inserter(m_actions));
@@ -562,12 +562,14 @@
         return;
     }
     if (!pending.mayHaveRun) {
-        fail(now, pending, makeError(ErrorKind::EndpointUnreachable, "the endpoint was unreachable or rejected the request"),
+        fail(now, pending,
+             makeError(ErrorKind::EndpointUnreachable,
+                       "no endpoint ran the request: it was unreachable or rejected the request, and no retry is left"),
              std::chrono::seconds(1));
         return;
     }
     const ErrorKind kind = pending.classSettings.repeatable ? ErrorKind::EndpointFailed : ErrorKind::OutcomeUnknown;
-    fail(now, pending, makeError(kind, "the endpoint's response broke off; it is unknown whether the request completed"),
+    fail(now, pending, makeError(kind, "the endpoint failed during the run; whether it completed the request is unknown"),
          Duration::zero());
 }
 
@@ -616,7 +618,7 @@
 
 bool Home::releaseWork(Instant now, std::uint64_t work)
 {
-    const bool released = m_quarantine.release(now, work);
+    const bool released = m_quarantine.releaseWork(now, work);
     enforceQuarantine(now);
     return released;
 }
@@ -698,8 +700,9 @@
     }
     for (Pending &pending : m_pending | std::views::values) {
         if (pending.phase == Phase::Asking && pending.dispatcher == member) {
-            // The ask is sent again at the next tick, in case the connection is back. The delay starts over at each loss, since
-            // the wait so far says nothing about the next one: when it was doubled at each loss, it grew until it overflowed.
+            // The ask is sent again at the next tick, in case the connection is back. The repeat delay is reset: the time waited
+            // so far does not predict the next reply, and a delay that doubled at each loss overflowed while a dispatcher stayed
+            // unreachable.
             pending.queuedAtDispatcher = false;
             pending.repeatAfter = askRepeatDelay;
             pending.askedAt = now - pending.repeatAfter;
--- a/Source/Request/home.h
+++ b/Source/Request/home.h
@@ -67,12 +67,13 @@
 /// final response.
 ///
 /// For each attempt it sends an ask to the dispatcher of a shard, that is, to the host that schedules some endpoints of the
-/// request's pool. The dispatcher refuses the ask, queues it, or grants an endpoint. The home then starts a run there and, when
-/// that ends, releases the permit and decides whether the request is retried. While a dispatcher is unreachable, the home starts
-/// runs by itself, within its own share of the endpoints (see LocalWindow).
+/// request's pool. The dispatcher refuses the ask, queues it, or grants an endpoint. A grant that has not been released yet is a
+/// permit. The home starts a run at the granted endpoint, releases the permit when the run ends, and decides whether the request
+/// is retried. While a dispatcher is unreachable, the home starts runs by itself, within its own share of the endpoints (see
+/// LocalWindow).
 ///
 /// It is a pure state machine: the caller passes in the time, and takeActions() returns what is to be done. Each request ends
-/// with exactly one Fail or Finished action.
+/// with exactly one Fail or Finished action, except one whose caller has disconnected, which ends without an action.
 class Home
 {
 public:
@@ -108,10 +109,10 @@
     /// Releases @p work from quarantine. Returns false if it is not quarantined.
     bool releaseWork(Base::Instant now, std::uint64_t work);
 
-    /// Fails each request that has no run yet with @p error and the outcome `not-run`.
+    /// Fails each request without a current run, that is, in the phases Asking and BackingOff, with @p error.
     void failWaiting(Base::Instant now, const absl::Status &error);
 
-    /// Handles the loss of the connection to @p member: messages in both directions may have been lost.
+    /// Handles the loss of the connection to @p member. Messages in both directions may have been lost.
     void memberLost(Base::Instant now, const std::string &member);
 
     /// Handles timeouts, delayed retries and periodic reports; to be called regularly.
@@ -140,8 +141,8 @@
         std::uint8_t attempt = 0;
         std::uint32_t shard = 0;
         std::string dispatcher;
-        std::uint32_t endpoint = 0; ///< endpoint of the latest run
-        std::uint32_t avoid = 0; ///< endpoint of the last failed run, which further asks avoid; 0 for none
+        std::uint32_t endpoint = 0; ///< endpoint of the latest run or returned grant
+        std::uint32_t avoid = 0; ///< endpoint that further asks avoid, after a failed run or repeated wrong grants; 0 for none
         std::uint32_t runs = 0; ///< number of runs started so far
         std::uint32_t sentRuns = 0; ///< runs that may have reached their endpoint
         bool mayHaveRun = false; ///< an endpoint may have processed the request; never reset
@@ -193,7 +194,8 @@
     std::map<std::uint64_t, Pending> m_pending;
     ShardChoice m_shardChoice;
     std::map<std::uint32_t, Base::TokenBucket> m_retryBudgets; ///< by pool
-    std::set<std::uint32_t> m_reportedShards; ///< shards whose last report listed permits
+    /// Shards that get another report: the last one listed permits, or the connection was lost since.
+    std::set<std::uint32_t> m_reportedShards;
     LocalWindow m_localWindow;
     Quarantine m_quarantine;
     Rate::EndpointRates m_rates;
--- a/Source/Request/operations.h
+++ b/Source/Request/operations.h
@@ -32,7 +32,7 @@
     New, ///< the key has not been used; the request may run
     Running, ///< another request is running the operation
     ResponseStored, ///< it completed, and its response is stored
-    ResponseDropped, ///< it completed, and its response is no longer stored
+    ResponseDropped, ///< it completed, and its response is not stored, or not any more
     Unknown, ///< whether it completed is unknown
     OtherBody, ///< the key was used with another body
     Full, ///< no further operation can be remembered; the request must not run
--- a/Source/Request/quarantine.cpp
+++ b/Source/Request/quarantine.cpp
@@ -21,26 +21,29 @@
 /// Number of hosts that count the crashes of one work: two, so that the count survives the loss of either.
 constexpr std::size_t countingHosts = 2;
 /// A run that had just begun when its endpoint crashed counts in full. A run that may have been waiting there, or had run for
-/// long, counts half: it mostly ran beside the work that is at fault, and its retries meet that work again at other endpoints.
+/// long, counts half: it mostly shared the endpoint with the work that caused the crash, and its retries meet that work again at
+/// other endpoints.
 constexpr std::uint32_t fullWeight = 2;
 constexpr std::uint32_t halfWeight = 1;
-/// Work that completed within this time before the first crash is considered harmless. Without this rule, identical lookups were
-/// refused for good once three of nine engines crashed together: 1,897 of 2,477 requests of the load test for this pattern.
+/// Work that completed within this time before the first crash is considered harmless. Without this rule, the requests of a class
+/// that all ask for the same were refused from then on after three of nine endpoints had crashed together: 1,897 of 2,477
+/// requests in the load test of this case.
 constexpr Duration harmlessPeriod = std::chrono::minutes(1);
 /// Duration of a quarantine. The work may run again afterwards, in case its endpoints have been repaired; one more crash then
 /// quarantines it again.
 constexpr Duration quarantineDuration = std::chrono::minutes(10);
 /// Time for which crashes count. It is longer than a quarantine, so that earlier crashes count when the work runs again.
 constexpr Duration crashRetention = quarantineDuration * 2;
-/// A crashed endpoint had about 100 runs in its slots and queue. The limit covers those of 40 endpoints at a time in 0.4 MB; the
-/// oldest are dropped.
+/// A crashed endpoint leaves a suspicion for each of about 100 runs in its slots and queue. The limit is enough for 40 endpoints
+/// that crash at a time and takes 0.4 MB; the oldest suspicions are dropped.
 constexpr std::size_t maxSuspicions = 4096;
 /// Five minutes at 14 requests per second, a host's share of the target load.
 constexpr std::size_t maxCompleted = 4096;
-/// Each entry has cost three endpoints; more than this many at a time are a problem of another kind. They take 8 kB on the wire.
+/// Each entry stands for three crashed endpoints. More entries than this at a time have another cause than single requests. A
+/// message with all entries takes 8 kB.
 constexpr std::size_t maxEntries = 256;
-/// Interval of the gossip. Hosts that missed a message, have just started or were cut off catch up within a few intervals; a
-/// platform allows them three seconds.
+/// Interval of the gossip. Hosts that missed a message, have just started or were cut off catch up within a few intervals. The
+/// deployment platform gives them three seconds for it.
 constexpr Duration gossipInterval = std::chrono::milliseconds(500);
 /// Time for which a host that has just started, or was frozen, sends its digest even without entries, so that others reply with
 /// theirs.
@@ -73,7 +76,7 @@
     }
     m_members = members;
     m_maxCrashes = maxCrashes;
-    // Each host sends to the others in an order of its own, so that every member receives a digest from some host soon.
+    // Each host sends to the others in an order of its own. Every member thus receives a digest from some host soon.
     std::ranges::sort(m_members, {}, [this](const Peer::Member &member) { return Base::hash64(member.name, m_seed); });
 }
 
@@ -118,7 +121,7 @@
     }
 }
 
-bool Quarantine::release(Instant now, std::uint64_t work)
+bool Quarantine::releaseWork(Instant now, std::uint64_t work)
 {
     const auto entry = m_entries.find(work);
     if (entry == m_entries.end() || !entry->second.quarantined) {
@@ -167,8 +170,8 @@
     }
 }
 
-/// Returns whether this host has seen the work complete, so that it is not at fault: it ran beside the work that is, or endpoints
-/// crashed together for another reason.
+/// Returns whether this host has seen the work complete recently, which shows that it does not crash endpoints: they crashed
+/// because of other work, or together for another reason.
 bool Quarantine::recentlyCompleted(std::uint64_t work, Instant firstCrash) const
 {
     const auto completed = m_completed.find(work);
@@ -300,11 +303,11 @@
     if (m_members.size() < 2) {
         return;
     }
-    m_nextMember = (m_nextMember + 1) % m_members.size();
-    if (m_members[m_nextMember].name == m_self) {
-        m_nextMember = (m_nextMember + 1) % m_members.size();
+    m_lastMember = (m_lastMember + 1) % m_members.size();
+    if (m_members[m_lastMember].name == m_self) {
+        m_lastMember = (m_lastMember + 1) % m_members.size();
     }
-    m_messages.push_back({m_members[m_nextMember].name, Peer::QuarantineUpdate {digest(), {}}});
+    m_messages.push_back({m_members[m_lastMember].name, Peer::QuarantineUpdate {digest(), {}}});
     m_nextGossip = now + gossipInterval;
 }
 
--- a/Source/Request/quarantine.h
+++ b/Source/Request/quarantine.h
@@ -32,14 +32,15 @@
 {
     std::uint64_t suspected = 0; ///< runs that broke off and were reported to the hosts that count crashes
     std::uint64_t quarantined = 0; ///< quarantined works
-    std::uint64_t cleared = 0; ///< works that were quarantined and then found to be harmless
+    std::uint64_t cleared = 0; ///< works cleared by this host, after a completed run or by an operator
 };
 
-/// One host's part of the quarantine. `Work` is the hash of a request's organisation, path and body (see NewRequest::work). A run
-/// that breaks off is reported to the two hosts that count the crashes of its work. When the number of endpoints that
-/// crashed under one work reaches the configured limit, these two quarantine it at all hosts. A host that has seen the work
-/// complete, shortly before the first of these crashes or later, clears it at all hosts. It is a pure state machine: the caller
-/// passes in the time, and takeMessages() returns what is to be sent.
+/// One host's part of the quarantine. A work is what a request asks for, identified by a hash of its organisation, path and body
+/// (NewRequest::work): all requests with the same content have the same work. A run that breaks off is reported to the two hosts
+/// that count the crashes of its work. When the number of endpoints that crashed under one work reaches the configured limit,
+/// these two quarantine it at all hosts. A host that has seen the work complete, shortly before the first of these crashes or
+/// later, clears it at all hosts. It is a pure state machine: the caller passes in the time, and takeMessages() returns what is
+/// to be sent.
 class Quarantine
 {
 public:
@@ -51,17 +52,17 @@
     /// Returns whether no run of @p work may start.
     bool isQuarantined(std::uint64_t work) const;
 
-    /// Records that the connection of a run of @p work broke before the response was complete. @p justBegan: the response had
-    /// just begun, or it is not streamed and does not show its begin. Otherwise the request may have been waiting at the
-    /// endpoint, or had run for long.
+    /// Records that the connection of a run of @p work broke before the response was complete. @p justBegan is true if the
+    /// response had just begun. It is also true for a response that is not streamed, since that does not show when the run began.
+    /// Otherwise the request may have been queued at the endpoint, or had run for long.
     void runBroke(Base::Instant now, std::uint64_t work, std::uint32_t endpoint, bool justBegan);
 
     /// Records that a run of @p work has completed.
     void runCompleted(Base::Instant now, std::uint64_t work);
 
-    /// Releases @p work at all hosts on an operator's command. Returns false if it is not quarantined. The same number
+    /// Clears @p work at all hosts on an operator's command. Returns false if it is not quarantined. The same number
     /// of crashes quarantines it again.
-    bool release(Base::Instant now, std::uint64_t work);
+    bool releaseWork(Base::Instant now, std::uint64_t work);
 
     /// Handles a message of another host's quarantine; @p from is the sender.
     void receive(Base::Instant now, const std::string &from, const Peer::RunBroke &broke);
@@ -123,14 +124,14 @@
     std::uint32_t m_maxCrashes = 0;
     std::map<std::uint64_t, Entry> m_entries; ///< by work
     std::unordered_map<std::uint64_t, Suspicion> m_suspicions; ///< by work, at hosts that count its crashes
-    std::deque<std::uint64_t> m_suspicionOrder; ///< in order of time
+    std::deque<std::uint64_t> m_suspicionOrder; ///< works of m_suspicions, in the order of their first crashes
     /// By work: time point at which one of its runs last completed at this host.
     std::unordered_map<std::uint64_t, Base::Instant> m_completed;
-    std::deque<std::uint64_t> m_completedOrder; ///< in order of time
+    std::deque<std::uint64_t> m_completedOrder; ///< works of m_completed, in the order of their first completions
     std::vector<std::uint64_t> m_newlyQuarantined;
     std::vector<SendToMember> m_messages;
     QuarantineCounters m_counters;
-    std::size_t m_nextMember = 0; ///< index in m_members of the member that received the last digest
+    std::size_t m_lastMember = 0; ///< index in m_members of the member that received the last digest
     Base::Instant m_nextGossip {};
     Base::Instant m_catchUpUntil {};
     Base::Instant m_lastTick {};
--- a/Source/Request/types.h
+++ b/Source/Request/types.h
@@ -53,7 +53,7 @@
 
 /// How far a run got at its endpoint.
 enum class RunStage {
-    Stale, ///< the grant's start-by time had passed; nothing was sent
+    Stale, ///< nothing was sent: the grant was past its start-by time, or was returned
     NotSent, ///< no byte of the request can have reached the endpoint
     Rejected, ///< the endpoint's protocol says that it did not process the request
     EndpointReplaced, ///< another endpoint has taken over the address; it did not process the request
