--- a/Source/Node/daemon.cpp
+++ b/Source/Node/daemon.cpp
@@ -73,8 +73,8 @@
     m_loop.onSignals({.stop = [this] { requestStop(); },
                       .dump = [this] { Base::log(Base::LogLevel::Info, Base::LogEvent::Dump, dump()); },
                       .reload = [this] { reloadSettings(); }});
-    m_mailbox
-        = std::make_unique<Base::Mailbox<EdgeEvent>>(m_loop.reactor(), [this](EdgeEvent &&event) { handle(std::move(event)); });
+    m_mailbox = std::make_unique<Base::Mailbox<ThreadEvent>>(m_loop.reactor(),
+                                                             [this](ThreadEvent &&event) { handle(std::move(event)); });
     auto relay = startRelay();
     if (!relay.ok()) {
         return relay.status();
@@ -218,7 +218,7 @@
     m_settings.seeds = loaded->seeds;
     m_settings.policies = loaded->policies;
     m_settings.notReadyAfter = loaded->notReadyAfter;
-    m_fleet->seedsChanged();
+    m_fleet->addSeeds();
     Base::log(Base::LogLevel::Info, Base::LogEvent::SettingsReloaded, {{"seeds", m_settings.seeds}});
 }
 
@@ -230,7 +230,7 @@
 
 // --- Events
 
-void Daemon::handle(EdgeEvent event)
+void Daemon::handle(ThreadEvent event)
 {
     auto *peer = std::get_if<Peer::Event>(&event);
     if (peer == nullptr) {
@@ -296,7 +296,7 @@
 
 void Daemon::handlePeer(const Peer::Lost &lost)
 {
-    const std::string member = m_fleet->memberAt(lost.address);
+    const std::string member = m_fleet->memberByAddress(lost.address);
     if (!member.empty()) {
         m_home.memberLost(Base::now(), member);
         m_frontend->forwarder().memberLost(member);
--- a/Source/Node/daemon.h
+++ b/Source/Node/daemon.h
@@ -50,7 +50,7 @@
 
 private:
     /// An event that another thread posts to the event loop.
-    using EdgeEvent = std::variant<Peer::Event, Relay::Event>;
+    using ThreadEvent = std::variant<Peer::Event, Relay::Event>;
 
     /// Stages of a planned stop, in order. AwaitingBalancer: load balancers may still send new connections.
     enum class StopStage { None, AwaitingBalancer, Draining, Over };
@@ -59,7 +59,7 @@
     void startFollowing();
     void startDuties();
     void reloadSettings();
-    void handle(EdgeEvent event);
+    void handle(ThreadEvent event);
     void handlePeer(const Peer::Received &received);
     void handlePeer(const Peer::Lost &lost);
     void handleRelay(Relay::Event event);
@@ -68,15 +68,21 @@
     void execute(Request::Action action);
     /// Executes the actions of the home and sends the replies of the dispatcher until neither has any left.
     void executePendingActions();
+    /// Passes changed members, configuration and shards to the other components.
     void fleetChanged();
+    /// Passes the members and the scaled pools to the duties of usage and scaling.
     void updateDuties();
     void tick();
+    /// Begins a planned stop; a second call ends it at once.
     void requestStop();
+    /// Moves a planned stop to its next stage when that is due.
     void advanceStop(Base::Instant now);
+    /// Ends the event loop. @p drained: no request was interrupted.
     void finishStop(bool drained);
     absl::Status readiness() const;
     std::string metricsText();
     nlohmann::json dump() const;
+    /// Returns the processor time of the calling thread.
     Base::Duration ownProcessorTime() const;
 
     Settings m_settings;
@@ -85,7 +91,7 @@
     std::uint64_t m_incarnation;
     Base::Loop m_loop;
     Http::Client m_client;
-    std::unique_ptr<Base::Mailbox<EdgeEvent>> m_mailbox;
+    std::unique_ptr<Base::Mailbox<ThreadEvent>> m_mailbox;
     std::unique_ptr<Peer::Edge> m_peers;
     std::unique_ptr<Relay::Relay> m_relay;
     Metrics m_metrics;
--- a/Source/Node/fleet.cpp
+++ b/Source/Node/fleet.cpp
@@ -48,23 +48,23 @@
 } // namespace
 
 Fleet::Fleet(const Settings &settings, Http::Client &client, std::uint64_t incarnation, Peer::Member self,
-             FleetCallbacks callbacks, DecodeSite decode)
+             FleetCallbacks callbacks, RecordDecoder decode)
     : m_settings(settings)
     , m_client(client)
     , m_callbacks(std::move(callbacks))
     , m_random(incarnation)
     , m_swim(std::move(self), settings.membership, incarnation)
-    , m_siteCatalogue(Configuration::Catalogue::build({}))
+    , m_recordCatalogue(Configuration::Catalogue::build({}))
     , m_decode(std::move(decode))
     , m_table(client, settings.platform, settings.platformTimeout)
     , m_store(m_table, m_replica, [this] { configurationUpdated(); })
     , m_shards(std::make_shared<Dispatch::ShardMap>())
     , m_pullScheduler(usesRecords() ? RevisionOrder::Digest : RevisionOrder::Counter)
 {
-    seedsChanged();
+    addSeeds();
 }
 
-void Fleet::seedsChanged()
+void Fleet::addSeeds()
 {
     for (const std::string &address : m_settings.seeds) {
         if (address != m_settings.advertisedPeer) {
@@ -84,7 +84,7 @@
     if (!usesRecords() && now >= m_nextHostList) {
         pollHostList(now);
     }
-    if (m_recordsChanged && now >= m_nextDecode) {
+    if (m_decodePending && now >= m_nextDecode) {
         decodeRecords(now);
     }
     if (m_swim.generation() != m_lastGeneration) {
@@ -400,7 +400,7 @@
     return entry == members().end() || entry->second.state == Peer::MemberState::Dead ? std::string() : entry->second.address;
 }
 
-std::string Fleet::memberAt(const std::string &address) const
+std::string Fleet::memberByAddress(const std::string &address) const
 {
     const auto entry
         = std::ranges::find_if(members(), [&](const auto &candidate) { return candidate.second.address == address; });
@@ -450,7 +450,7 @@
 {
     m_swim.setRevision(m_records.digest());
     // The records are decoded at the next tick, so that changes that arrive together are decoded together.
-    m_recordsChanged = true;
+    m_decodePending = true;
     // Hosts that do not follow the store themselves request what they lack.
     m_swim.tellRevision(gossipFanout);
     flushMembership();
@@ -458,13 +458,13 @@
 
 void Fleet::decodeRecords(Base::Instant now)
 {
-    m_recordsChanged = false;
+    m_decodePending = false;
     auto parts = m_decode(m_records);
     if (parts.ok()) {
         parts->policies = m_settings.policies;
         logRejected(std::move(parts->rejected));
-        m_siteCatalogue = Configuration::Catalogue::assemble(std::move(*parts));
-        m_endpointsEverKnown = m_endpointsEverKnown || !m_siteCatalogue->endpoints().empty();
+        m_recordCatalogue = Configuration::Catalogue::assemble(std::move(*parts));
+        m_endpointsEverKnown = m_endpointsEverKnown || !m_recordCatalogue->endpoints().empty();
         if (m_activeConfiguration.version != m_records.revisions().configuration) {
             m_activeConfiguration = {m_records.revisions().configuration, m_configurationSource, now};
         }
@@ -473,8 +473,8 @@
                    {"configuration-version", m_activeConfiguration.version},
                    {"configuration-from", m_activeConfiguration.from},
                    {"endpoints-version", m_records.revisions().endpoints},
-                   {"routes", m_siteCatalogue->routes().size()},
-                   {"endpoints", m_siteCatalogue->endpoints().size()}});
+                   {"routes", m_recordCatalogue->routes().size()},
+                   {"endpoints", m_recordCatalogue->endpoints().size()}});
         rebuild();
     } else {
         // The last valid configuration stays in effect.
@@ -497,10 +497,10 @@
     m_rejected = std::move(rejected);
 }
 
-void Fleet::updateStoreState(Base::Instant now, bool answers)
+void Fleet::updateStoreState(Base::Instant now, bool responds)
 {
-    m_storeResponds = answers;
-    if (answers) {
+    m_storeResponds = responds;
+    if (responds) {
         m_lastStoreContact = now;
         m_storeEverResponded = true;
     }
@@ -508,7 +508,7 @@
 
 std::optional<FollowReason> Fleet::followReason(Base::Instant now) const
 {
-    if (m_siteCatalogue->routes().empty()) {
+    if (m_recordCatalogue->routes().empty()) {
         return FollowReason::NoConfiguration;
     }
     if (m_isSelected) {
@@ -533,7 +533,7 @@
 
 std::shared_ptr<const Configuration::Catalogue> Fleet::catalogue() const
 {
-    return usesRecords() ? m_siteCatalogue : m_replica.catalogue();
+    return usesRecords() ? m_recordCatalogue : m_replica.catalogue();
 }
 
 std::shared_ptr<const Dispatch::ShardMap> Fleet::shards() const
@@ -568,7 +568,7 @@
 
 absl::Status Fleet::readiness(Base::Instant now) const
 {
-    const bool none = usesRecords() ? m_siteCatalogue->routes().empty() : m_replica.revision() == 0 && !m_storeEverResponded;
+    const bool none = usesRecords() ? m_recordCatalogue->routes().empty() : m_replica.revision() == 0 && !m_storeEverResponded;
     if (usesRecords() && !none && !m_endpointsEverKnown) {
         return makeError(Base::ErrorKind::NotReady,
                          "no endpoint is known yet: neither the table service nor a peer has sent one");
--- a/Source/Node/fleet.h
+++ b/Source/Node/fleet.h
@@ -64,9 +64,9 @@
 };
 
 /// Decodes records in the platform's format into the parts of a catalogue.
-using DecodeSite = std::function<absl::StatusOr<Configuration::CatalogueParts>(const Configuration::SiteRecords &records)>;
+using RecordDecoder = std::function<absl::StatusOr<Configuration::CatalogueParts>(const Configuration::SiteRecords &records)>;
 
-/// Combines membership (SWIM), the local copy of the configuration and the shard map, and keeps them up to date. The
+/// Combines the membership (SWIM), the local copy of the configuration and the shard map, and keeps them up to date. The
 /// configuration is either a replica of the platform's table, or records of the platform that followers read from its store and
 /// send to the other hosts (Settings::platformForm).
 class Fleet
@@ -74,13 +74,15 @@
 public:
     /// @p decode is used only with PlatformForm::Records.
     Fleet(const Settings &settings, Http::Client &client, std::uint64_t incarnation, Peer::Member self, FleetCallbacks callbacks,
-          DecodeSite decode);
+          RecordDecoder decode);
 
     void tick(Base::Instant now);
+
+    /// Handles messages about the membership and the configuration, and ignores all others.
     void receive(Base::Instant now, const std::string &from, const Peer::Message &message);
 
     /// Adds the seeds of the settings to the membership, after the settings were reloaded.
-    void seedsChanged();
+    void addSeeds();
 
     /// Announces to the other members that this host is leaving.
     void leave();
@@ -96,22 +98,26 @@
     void markRecordPending(const Configuration::Record &record);
 
     /// Updates whether the store responds, where it is not Fleet itself that sends the calls.
-    void updateStoreState(Base::Instant now, bool answers);
+    void updateStoreState(Base::Instant now, bool responds);
 
+    /// Returns all known members, dead ones and this host included, by name.
     const std::map<std::string, Peer::Member> &members() const;
+
+    /// Returns the members that are alive, suspected or leaving, this host included.
     std::vector<Peer::Member> present() const;
 
     /// Returns the peer address of a present member, or an empty string.
     std::string addressOf(const std::string &member) const;
 
     /// Returns the name of the member with peer address @p address, or an empty string.
-    std::string memberAt(const std::string &address) const;
+    std::string memberByAddress(const std::string &address) const;
 
+    /// Returns the applied configuration.
     std::shared_ptr<const Configuration::Catalogue> catalogue() const;
     std::shared_ptr<const Dispatch::ShardMap> shards() const;
     const Configuration::Replica &replica() const;
 
-    /// Returns the applied configuration; only with PlatformForm::Records.
+    /// Returns the version and the source of the applied configuration; only with PlatformForm::Records.
     const ActiveConfiguration &activeConfiguration() const;
 
     /// Returns the revision of the applied configuration. It never decreases.
@@ -122,6 +128,7 @@
     /// Returns OK, or the reason why load balancers should not send callers to this host.
     absl::Status readiness(Base::Instant now) const;
 
+    /// Returns whether the last call to the platform's store was successful.
     bool storeResponds() const;
 
     /// Returns why this host is to follow the store, or nothing if it is not to. In a large fleet only a few selected hosts
@@ -129,7 +136,8 @@
     /// follows too.
     std::optional<FollowReason> followReason(Base::Instant now) const;
 
-    /// Returns the hosts that get changes from the selected followers. Each of them can substitute for a follower.
+    /// Returns the present hosts that are neither selected followers nor suspected. They get changes from the followers, and each
+    /// of them can substitute for one.
     const std::vector<std::string> &nonFollowers() const;
 
 private:
@@ -147,15 +155,20 @@
     void pullIfBehind(Base::Instant now, const std::string &from, std::uint64_t revision);
     void configurationUpdated();
     void gossipConfiguration();
+    /// Sends @p changes to a few random members.
     void gossip(const Peer::Changes &changes);
+    /// Announces the new revision to other hosts and schedules the decoding of the records.
     void recordsChanged();
     void updateConfigurationSource(std::uint64_t versionBefore, const std::string &source);
     void decodeRecords(Base::Instant now);
     void logRejected(std::vector<Configuration::RejectedRecord> rejected);
+    /// Returns whether the platform keeps the configuration as records (PlatformForm::Records).
     bool usesRecords() const;
     void flushMembership();
     void replaceUnresponsiveFollowers(Base::Instant now);
     void selectFollowers(const std::vector<Peer::Member> &presentMembers);
+    /// Updates the shard map and the followers after a change of members or configuration, and reports members that died or
+    /// restarted.
     void rebuild();
     Base::Duration pollPeriod();
     std::int64_t hostCount() const;
@@ -171,8 +184,8 @@
     bool m_baseMissing = false; ///< the last changes were a delta to a configuration that this host does not have
     std::string m_configurationSource; ///< source of the newest configuration
     ActiveConfiguration m_activeConfiguration;
-    std::shared_ptr<const Configuration::Catalogue> m_siteCatalogue;
-    DecodeSite m_decode;
+    std::shared_ptr<const Configuration::Catalogue> m_recordCatalogue; ///< decoded from m_records
+    RecordDecoder m_decode;
     Platform::EtcdTable m_table;
     Configuration::Store<Platform::EtcdTable> m_store;
     std::shared_ptr<const Dispatch::ShardMap> m_shards;
@@ -187,7 +200,7 @@
     bool m_storeEverResponded = false;
     bool m_endpointsEverKnown = false; ///< some configuration had endpoints; only with PlatformForm::Records
     std::vector<Configuration::RejectedRecord> m_rejected; ///< the rejected records that were logged last
-    bool m_recordsChanged = false; ///< the records have changed since they were last decoded
+    bool m_decodePending = false; ///< the records have changed since they were last decoded
     Base::Instant m_nextDecode {};
     bool m_isSelected = true; ///< this host is one of m_followers
     std::vector<std::string> m_followers; ///< the hosts selected to follow the store
--- a/Source/Node/frontend.h
+++ b/Source/Node/frontend.h
@@ -33,8 +33,10 @@
     std::function<void(const std::string &member, Peer::Message message)> send;
 };
 
-/// Turns calls of the relay into requests of Request::Home, and the actions of the home into commands for the relay. All
-/// functions are called on the event loop's thread.
+/// Turns calls of the relay into requests of Request::Home, and the actions of the home into commands for the relay. The home of
+/// a request is the host that accepted it; only the home may run it. A request with an idempotency key is called an operation and
+/// runs at most once. Its key is either a ticket that a host issued, or chosen by the caller and then claimed in the platform's
+/// table. All functions are called on the event loop's thread.
 class Frontend
 {
 public:
@@ -98,27 +100,38 @@
         Request::OperationRecord record; ///< record of the claim, if the key was claimed in the table
         bool waiting = false; ///< waits for the run of another request with the same key
         Base::Instant arrived {};
-        std::optional<Http::Response> runResponse;
+        std::optional<Http::Response> runResponse; ///< complete response of an operation, to be stored
     };
 
+    /// Handles a call with PlatformForm::Records, where routes determine class and organisation.
     void callArrivedByRoute(const Relay::CallArrived &call);
+    /// Returns whether the planned stop leaves time for the request until its deadline.
     bool endsBeforeStop(const AdmittedRequest &admitted) const;
+    /// Handles a call with PlatformForm::Table, after the organisation was authenticated.
     void route(const Relay::CallArrived &call, const Configuration::Organisation &organisation);
     absl::StatusOr<AdmittedRequest> admit(const Relay::CallArrived &call, const Configuration::Organisation &organisation) const;
     absl::StatusOr<const Configuration::RequestClass *> selectClass(const Relay::CallArrived &call,
                                                                     const Configuration::Organisation &organisation,
                                                                     std::string_view servicePool) const;
+    /// Starts a request, after checks of its idempotency key if it has one.
     void startRequest(const Relay::CallArrived &call, AdmittedRequest admitted);
+    /// Starts an operation, or responds according to the state of the operation with the same key.
     void startOperation(const Relay::CallArrived &call, AdmittedRequest admitted);
+    /// Starts an operation whose key is a ticket, or forwards it to the home that issued the ticket.
     void startWithTicket(const Relay::CallArrived &call, AdmittedRequest admitted);
+    /// Claims a key chosen by the caller in the table, and starts the operation if the claim succeeds.
     void startWithClaim(const Relay::CallArrived &call, AdmittedRequest admitted);
+    /// Handles an operation whose key is claimed already: forwards it to its home, or responds with its outcome.
     void handleExistingClaim(const Relay::CallArrived &call, AdmittedRequest admitted, const Request::OperationRecord &record);
+    /// Passes a request to the home of this host.
     void startHere(const Relay::CallArrived &call, AdmittedRequest admitted);
     static OperationCall operationCall(const AdmittedRequest &admitted);
+    /// Responds with the outcome that the table has for an operation.
     void respondFromJournal(const OperationCall &call);
     void issueTicket(std::uint64_t call, const Configuration::Organisation &organisation);
     void listModels(std::uint64_t call);
     void respond(std::uint64_t call, Http::Response response);
+    /// Responds with @p error to a call that was not passed to the home, and logs that.
     void refuse(std::uint64_t call, const absl::Status &error, Request::Outcome outcome = Request::Outcome::NotRun,
                 Base::Duration retryAfter = {}, const std::string &callersName = {});
     void logRequestEnd(const AdmittedRequest &admitted, Request::Outcome outcome, const absl::Status &error) const;
@@ -127,6 +140,7 @@
                     const std::string &callersName) const;
     Http::Response errorResponseFor(const absl::Status &error, Request::Outcome outcome, std::uint64_t call,
                                     Base::Duration retryAfter) const;
+    /// Records the outcome of an operation and responds to the requests that wait for it.
     void finishOperation(const AdmittedRequest &admitted, Request::Outcome outcome, const std::optional<Http::Response> &response,
                          const absl::Status &error);
 
@@ -144,8 +158,8 @@
     std::map<std::uint64_t, Base::Instant> m_unusedTickets; ///< time of issue by ticket number
     std::set<std::string> m_abandonedClaims; ///< tokens of claims under which nothing ran; a retry may use them
     std::uint64_t m_nextTicket = 1;
-    Base::Instant m_admissionLimitedFrom = Base::Instant::max();
-    Base::Instant m_stopDeadline = Base::Instant::max();
+    Base::Instant m_admissionLimitedFrom = Base::Instant::max(); ///< see limitAdmission()
+    Base::Instant m_stopDeadline = Base::Instant::max(); ///< see limitAdmission()
 };
 
 } // namespace Yokepond::Node
--- a/Source/Node/queries.cpp
+++ b/Source/Node/queries.cpp
@@ -224,7 +224,7 @@
 }
 
 /// Returns the state of an endpoint that matters most to an operator.
-std::string_view Queries::stateOf(const Dispatch::EndpointView &view)
+std::string_view Queries::displayState(const Dispatch::EndpointView &view)
 {
     if (view.saysItLeaves) {
         return "leaving";
@@ -252,7 +252,7 @@
                                    {"pool", pool == nullptr ? "" : pool->name},
                                    {"address", endpoint->address.text()},
                                    {"data-centre", endpoint->dataCentre},
-                                   {"state", stateOf(view)},
+                                   {"state", displayState(view)},
                                    {"running", view.running},
                                    {"window", view.window},
                                    {"slots", endpoint->slots},
@@ -497,11 +497,11 @@
 {
 }
 
-void Gatherer::gather(Base::Instant now, const std::string &statement, const std::vector<std::string> &members, QueryResult own,
-                      Callback callback)
+void Gatherer::gather(Base::Instant now, const std::string &statement, const std::vector<std::string> &members,
+                      QueryResult ownResult, Callback callback)
 {
     const std::uint64_t id = m_nextId++;
-    m_pendingQueries.emplace(id, PendingQuery {std::move(own), members, now + gatherTimeout, std::move(callback)});
+    m_pendingQueries.emplace(id, PendingQuery {std::move(ownResult), members, now + gatherTimeout, std::move(callback)});
     for (const std::string &member : members) {
         m_send(member, Peer::Gather {id, statement});
     }
@@ -513,14 +513,14 @@
 void Gatherer::receive(const std::string &from, const Peer::Gathered &gathered)
 {
     const auto entry = m_pendingQueries.find(gathered.id);
-    if (entry == m_pendingQueries.end() || std::erase(entry->second.open, from) == 0) {
+    if (entry == m_pendingQueries.end() || std::erase(entry->second.pending, from) == 0) {
         return;
     }
     const nlohmann::json rows = nlohmann::json::parse(gathered.answer, nullptr, false);
     if (rows.is_array()) {
         std::ranges::copy(rows, std::back_inserter(entry->second.result.rows));
     }
-    if (entry->second.open.empty()) {
+    if (entry->second.pending.empty()) {
         finish(gathered.id);
     }
 }
@@ -529,7 +529,7 @@
 {
     std::vector<std::uint64_t> due;
     for (const auto &[id, pendingQuery] : m_pendingQueries) {
-        if (now >= pendingQuery.until) {
+        if (now >= pendingQuery.deadline) {
             due.push_back(id);
         }
     }
@@ -540,7 +540,7 @@
 {
     PendingQuery pendingQuery = std::move(m_pendingQueries.at(id));
     m_pendingQueries.erase(id);
-    pendingQuery.result.missing = std::move(pendingQuery.open);
+    pendingQuery.result.missing = std::move(pendingQuery.pending);
     pendingQuery.callback(std::move(pendingQuery.result));
 }
 
--- a/Source/Node/queries.h
+++ b/Source/Node/queries.h
@@ -64,15 +64,18 @@
     QueryResult why(const Language::Why &why, Base::Instant now) const;
     QueryResult requests(Base::Instant now) const;
     QueryResult objects(Configuration::Kind kind) const;
-    static std::string_view stateOf(const Dispatch::EndpointView &view);
+    static std::string_view displayState(const Dispatch::EndpointView &view);
     QueryResult endpoints() const;
     QueryResult hosts() const;
     QueryResult dispatchers() const;
     QueryResult duties(Base::Instant now) const;
     QueryResult quarantine(Base::Instant now) const;
     QueryResult changes() const;
+    /// Lists the steps of a request so far, and its place in the queues of this host.
     QueryResult whyRequest(const std::string &name, Base::Instant now) const;
+    /// Explains whether an endpoint gets requests, and if not, why.
     QueryResult whyEndpoint(const std::string &name) const;
+    /// Explains why requests of a class wait.
     QueryResult whyClass(const std::string &name, Base::Instant now) const;
     std::string className(std::uint32_t number) const;
     std::string endpointName(std::uint32_t number) const;
@@ -94,8 +97,8 @@
 
     explicit Gatherer(Send send);
 
-    /// Sends @p statement to @p members. @p callback gets @p own with their rows added.
-    void gather(Base::Instant now, const std::string &statement, const std::vector<std::string> &members, QueryResult own,
+    /// Sends @p statement to @p members. Calls @p callback with @p ownResult and the rows of their replies.
+    void gather(Base::Instant now, const std::string &statement, const std::vector<std::string> &members, QueryResult ownResult,
                 Callback callback);
 
     void receive(const std::string &from, const Peer::Gathered &gathered);
@@ -107,8 +110,8 @@
     struct PendingQuery
     {
         QueryResult result;
-        std::vector<std::string> open; ///< members that have not replied
-        Base::Instant until {};
+        std::vector<std::string> pending; ///< members that have not replied
+        Base::Instant deadline {};
         Callback callback;
     };
 
--- a/Source/Node/recordwatcher.h
+++ b/Source/Node/recordwatcher.h
@@ -25,19 +25,19 @@
 
 namespace Yokepond::Node {
 
-/// Returns the time for which calls may ask to be held. During a disruption a platform may lose the calls of all hosts, without
+/// Returns the time for which calls may ask to be held. During a disruption the store may lose the calls of all hosts, without
 /// an error. A lost call hangs until it times out, @p timeout after the end of its hold time. The next call must be answered
 /// before the platform relies on the hosts again, @p settledAfter the disruption: by then all changes that it acknowledged
 /// meanwhile must be applied.
 constexpr Base::Duration maxHoldTime(Base::Duration settledAfter, Base::Duration timeout)
 {
     constexpr Base::Duration nextCallTime = std::chrono::milliseconds(300); ///< first retry delay, one tick and the response
-    constexpr Base::Duration least = std::chrono::milliseconds(100); ///< limits the number of calls
-    constexpr Base::Duration most = std::chrono::milliseconds(2500); ///< a longer time would save few calls
-    return std::clamp(settledAfter - timeout - nextCallTime, least, most);
+    constexpr Base::Duration minimum = std::chrono::milliseconds(100); ///< limits the number of calls
+    constexpr Base::Duration maximum = std::chrono::milliseconds(2500); ///< a longer time would save few calls
+    return std::clamp(settledAfter - timeout - nextCallTime, minimum, maximum);
 }
 
-/// A held call counts as overdue this long after the end of its hold time; a working platform ends it before.
+/// A held call counts as overdue this long after the end of its hold time; a working store ends it before.
 constexpr Base::Duration heldCallMargin = std::chrono::milliseconds(500);
 /// A full read counts as overdue after this time: reading a large configuration takes as long on a link of 10 Mbit/s.
 constexpr Base::Duration fullReadTimeout = std::chrono::milliseconds(1000);
@@ -50,9 +50,9 @@
     Base::Duration holdTime = maxHoldTime(std::chrono::milliseconds(3000), std::chrono::milliseconds(1500));
     /// Minimum hold time as a fraction of @ref holdTime when calls are staggered.
     double minHoldFraction = 0.4;
-    /// Hold time after a failed call. It is zero since such a call only checks whether the platform works again, and if it is
+    /// Hold time after a failed call. It is zero since such a call only checks whether the store works again, and if it is
     /// lost, it times out soon. With the usual hold time, calls that began just before the end of an outage hung for 4 s on all
-    /// hosts at once, and a configuration that the platform accepted meanwhile was applied 0.2 s too late.
+    /// hosts at once, and a configuration that the store accepted meanwhile was applied 0.2 s too late.
     Base::Duration holdTimeAfterFailure = Base::Duration::zero();
     /// Delay between a response about endpoints and the next call. It limits the number of calls, since heartbeats of endpoints
     /// may end each held call at once.
@@ -61,9 +61,9 @@
     /// Delay after a failed call; doubled with each further failure up to the maximum.
     Base::Duration initialRetryDelay = std::chrono::milliseconds(150);
     Base::Duration maxRetryDelay = std::chrono::milliseconds(1000);
-    /// Delay before removals of endpoints during an outage are reported: the platform may drop records of endpoints that still
+    /// Delay before removals of endpoints during an outage are reported: the store may drop records of endpoints that still
     /// run, and these record themselves again.
-    Base::Duration removalGrace = std::chrono::milliseconds(2800);
+    Base::Duration removalDelay = std::chrono::milliseconds(2800);
     std::function<Base::Instant()> clock = Base::now; ///< current time, read when calls begin and end
 };
 
@@ -79,7 +79,7 @@
 /// Callbacks of RecordWatcher; all are called on the event loop's thread.
 struct RecordWatcherCallbacks
 {
-    std::function<void(std::vector<Configuration::Record> records)> records; ///< gets records to be merged
+    std::function<void(std::vector<Configuration::Record> records)> recordsRead; ///< gets records to be merged
     std::function<void(const Configuration::Record &record)> removalDeferred; ///< gets a removal that is not reported yet
     std::function<void(const StoreUpdate &update)> storeStateChanged; ///< the store began or ceased to respond
     /// Returns the endpoints known to this host, from the store or from other hosts.
@@ -87,7 +87,7 @@
 };
 
 /// Watches the records of both kinds by one call each: a full read first, then held calls for changes. Passes all records that it
-/// reads to RecordWatcherCallbacks::records, also those that this host has already; the receiver skips them by their version.
+/// reads to RecordWatcherCallbacks::recordsRead, also those that this host has already; the receiver skips them by their version.
 template<Platform::Feed F>
 class RecordWatcher
 {
@@ -98,26 +98,26 @@
         , m_random(seed)
         , m_callbacks(std::move(callbacks))
     {
-        m_tables[0].kind = Configuration::RecordKind::Configuration;
-        m_tables[0].pause = m_options.configurationPause;
-        m_tables[1].kind = Configuration::RecordKind::Endpoint;
-        m_tables[1].pause = m_options.endpointPause;
+        m_states[0].kind = Configuration::RecordKind::Configuration;
+        m_states[0].pause = m_options.configurationPause;
+        m_states[1].kind = Configuration::RecordKind::Endpoint;
+        m_states[1].pause = m_options.endpointPause;
     }
 
     /// @p active: whether to make new calls. The result of a call in progress is handled in any case.
     void tick(Base::Instant now, bool active = true)
     {
         reportDueRemovals(now);
-        for (TableState &table : m_tables) {
-            table.reactivated = table.reactivated || !active;
-            if (active && !table.calling && now >= table.nextCallAt) {
-                call(table);
+        for (KindState &state : m_states) {
+            state.reactivated = state.reactivated || !active;
+            if (active && !state.calling && now >= state.nextCallAt) {
+                call(state);
             }
         }
     }
 
     /// Sets whether hold times are randomised. A change ends the held calls of all hosts at once, so with equal hold times they
-    /// would also end together from then on, and for a whole hold time no host would notice that the platform has ceased to
+    /// would also end together from then on, and for a whole hold time no host would notice that the store has ceased to
     /// respond.
     void staggerCalls(bool stagger)
     {
@@ -128,10 +128,10 @@
     bool isResponding(Base::Instant now) const
     {
         return std::ranges::none_of(
-            m_tables, [now](const TableState &table) { return table.failures > 0 || (table.calling && now >= table.overdueAt); });
+            m_states, [now](const KindState &state) { return state.failures > 0 || (state.calling && now >= state.overdueAt); });
     }
 
-    /// Returns whether the platform has responded since @p instant without a failure, or nothing if that is not known yet.
+    /// Returns whether the store has responded since @p instant without a failure, or nothing if that is not known yet.
     std::optional<bool> respondedSince(Base::Instant now, Base::Instant instant) const
     {
         if (!isResponding(now) || (m_lastFailure != Base::Instant {} && m_lastFailure >= instant)) {
@@ -152,7 +152,7 @@
         return m_responds;
     }
 
-    /// Returns when the platform last responded, or the zero time point if it never has.
+    /// Returns when the store last responded, or the zero time point if it never has.
     Base::Instant lastResponse() const
     {
         return m_lastResponse;
@@ -162,7 +162,7 @@
     using Record = Configuration::Record;
 
     /// State of the calls for one kind of record.
-    struct TableState
+    struct KindState
     {
         Configuration::RecordKind kind {};
         Base::Duration pause {};
@@ -175,7 +175,7 @@
         unsigned int failures = 0; ///< consecutive failed calls
         bool retriedImmediately = false; ///< a failed call was retried without delay since the last response
         Base::Instant nextCallAt {};
-        std::map<std::string, std::uint64_t> known; ///< versions of the present records, by key
+        std::map<std::string, std::uint64_t> knownVersions; ///< versions of the present records, by key
     };
 
     /// The removal of an endpoint whose report is deferred.
@@ -185,31 +185,33 @@
         Base::Instant due {};
     };
 
-    void call(TableState &table)
+    /// Starts a full read or a held call.
+    void call(KindState &state)
     {
-        table.calling = true;
-        table.calledAt = m_options.clock();
-        const bool fullRead = table.needsFullRead;
-        auto handler = [this, &table, fullRead](absl::StatusOr<Platform::FeedPage> page) {
-            handleResult(table, fullRead, std::move(page));
+        state.calling = true;
+        state.calledAt = m_options.clock();
+        const bool fullRead = state.needsFullRead;
+        auto handler = [this, &state, fullRead](absl::StatusOr<Platform::FeedPage> page) {
+            handleResult(state, fullRead, std::move(page));
         };
         if (fullRead) {
-            table.overdueAt = table.calledAt + fullReadTimeout;
-            m_feed.read(table.kind, std::move(handler));
+            state.overdueAt = state.calledAt + fullReadTimeout;
+            m_feed.read(state.kind, std::move(handler));
         } else {
-            const Base::Duration holdTime = nextHoldTime(table);
-            table.overdueAt = table.calledAt + holdTime + heldCallMargin;
-            m_feed.follow(table.kind, table.since, holdTime, std::move(handler));
+            const Base::Duration holdTime = nextHoldTime(state);
+            state.overdueAt = state.calledAt + holdTime + heldCallMargin;
+            m_feed.follow(state.kind, state.since, holdTime, std::move(handler));
         }
     }
 
-    Base::Duration nextHoldTime(const TableState &table)
+    /// Returns the time for which the next call asks to be held.
+    Base::Duration nextHoldTime(const KindState &state)
     {
-        if (table.failures > 0) {
+        if (state.failures > 0) {
             return m_options.holdTimeAfterFailure;
         }
-        if (table.reactivated) {
-            // This host must learn at once what changed while it did not follow, and whether the platform responds to it.
+        if (state.reactivated) {
+            // This host must learn at once what changed while it did not follow, and whether the store responds to it.
             return Base::Duration::zero();
         }
         if (!m_stagger) {
@@ -222,71 +224,73 @@
                                                           * (1.0 - (1.0 - m_options.minHoldFraction) * fraction));
     }
 
-    void handleResult(TableState &table, bool fullRead, absl::StatusOr<Platform::FeedPage> page)
+    void handleResult(KindState &state, bool fullRead, absl::StatusOr<Platform::FeedPage> page)
     {
         const Base::Instant now = m_options.clock();
-        table.calling = false;
+        state.calling = false;
         if (!page.ok() && Base::errorKind(page.status()) == Base::ErrorKind::HistoryGone) {
-            table.needsFullRead = true;
-            table.nextCallAt = now;
+            state.needsFullRead = true;
+            state.nextCallAt = now;
             return;
         }
         if (!page.ok()) {
-            callFailed(table, now, page.status());
+            callFailed(state, now, page.status());
             return;
         }
-        table.failures = 0;
-        table.reactivated = false;
-        table.retriedImmediately = false;
-        table.nextCallAt = now + table.pause;
-        table.since = page->version;
-        table.needsFullRead = false;
-        noteResponse(table, now);
+        state.failures = 0;
+        state.reactivated = false;
+        state.retriedImmediately = false;
+        state.nextCallAt = now + state.pause;
+        state.since = page->version;
+        state.needsFullRead = false;
+        callSucceeded(state, now);
         if (fullRead) {
-            addMissingRemovals(table, *page);
+            addRemovals(state, *page);
         }
-        applyRecords(table, now, std::move(page->records));
+        applyRecords(state, now, std::move(page->records));
     }
 
-    void callFailed(TableState &table, Base::Instant now, const absl::Status &error)
+    /// Schedules the retry of a failed call.
+    void callFailed(KindState &state, Base::Instant now, const absl::Status &error)
     {
         const Base::Duration delay
-            = std::min(m_options.maxRetryDelay, m_options.initialRetryDelay * (1U << std::min(table.failures, 8U)));
-        ++table.failures;
+            = std::min(m_options.maxRetryDelay, m_options.initialRetryDelay * (1U << std::min(state.failures, 8U)));
+        ++state.failures;
         const auto jitter = static_cast<std::int64_t>(m_random() % static_cast<std::uint64_t>(delay.count() / 2 + 1));
-        table.nextCallAt = now + delay / 2 + Base::Duration(jitter);
-        // The other call has had a response since this one began, so the platform lost this call but works again. A retry without
-        // delay saves up to a second. It is done only once, since the platform may reject only the calls of one kind.
-        if (m_lastResponse >= table.calledAt && !table.retriedImmediately) {
-            table.retriedImmediately = true;
-            table.nextCallAt = now;
+        state.nextCallAt = now + delay / 2 + Base::Duration(jitter);
+        // The other call has had a response since this one began, so the store lost this call but works again. A retry without
+        // delay saves up to a second. It is done only once, since the store may reject only the calls of one kind.
+        if (m_lastResponse >= state.calledAt && !state.retriedImmediately) {
+            state.retriedImmediately = true;
+            state.nextCallAt = now;
         }
         m_lastFailure = now;
         if (std::exchange(m_responds, false) || !m_stateReported) {
             m_stateReported = true;
-            m_callbacks.storeStateChanged({false, table.kind, now - table.calledAt, error});
+            m_callbacks.storeStateChanged({false, state.kind, now - state.calledAt, error});
         }
     }
 
-    void noteResponse(const TableState &respondingTable, Base::Instant now)
+    /// Updates the state of all calls after a response.
+    void callSucceeded(const KindState &respondingState, Base::Instant now)
     {
         m_lastResponse = now;
-        for (TableState &table : m_tables) {
-            // The platform responds again, so calls that failed before are retried at once.
-            table.nextCallAt = table.failures > 0 ? now : table.nextCallAt;
+        for (KindState &state : m_states) {
+            // The store responds again, so calls that failed before are retried at once.
+            state.nextCallAt = state.failures > 0 ? now : state.nextCallAt;
         }
         if (!std::exchange(m_responds, true)) {
             m_stateReported = true;
-            m_callbacks.storeStateChanged({true, respondingTable.kind, now - respondingTable.calledAt, absl::OkStatus()});
+            m_callbacks.storeStateChanged({true, respondingState.kind, now - respondingState.calledAt, absl::OkStatus()});
         }
     }
 
     /// Adds removals of the known records that a full read does not list, with the version of the read. This includes endpoints
     /// that only other hosts have reported, since other hosts take this copy as complete up to the version of the read.
-    void addMissingRemovals(const TableState &table, Platform::FeedPage &page) const
+    void addRemovals(const KindState &state, Platform::FeedPage &page) const
     {
-        std::map<std::string, std::uint64_t> present = table.known;
-        if (table.kind == Configuration::RecordKind::Endpoint) {
+        std::map<std::string, std::uint64_t> present = state.knownVersions;
+        if (state.kind == Configuration::RecordKind::Endpoint) {
             for (const Record &record : m_callbacks.knownEndpoints()) {
                 if (record.version <= page.version) {
                     present.try_emplace(record.key, record.version);
@@ -296,36 +300,38 @@
         std::vector<Record> missing;
         for (const auto &[key, version] : present) {
             if (std::ranges::find(page.records, key, &Record::key) == page.records.end()) {
-                missing.push_back({table.kind, key, std::max(version + 1, page.version), true, {}});
+                missing.push_back({state.kind, key, std::max(version + 1, page.version), true, {}});
             }
         }
         std::ranges::move(missing, std::back_inserter(page.records));
     }
 
-    void applyRecords(TableState &table, Base::Instant now, std::vector<Record> records)
+    /// Passes the records of a response on, except removals that are deferred after an outage.
+    void applyRecords(KindState &state, Base::Instant now, std::vector<Record> records)
     {
         std::vector<Record> reported;
         for (Record &record : records) {
             if (record.removed) {
-                table.known.erase(record.key);
+                state.knownVersions.erase(record.key);
             } else {
-                table.known[record.key] = record.version;
+                state.knownVersions[record.key] = record.version;
                 m_removals.erase(record.key);
             }
-            const bool afterOutage = m_lastFailure != Base::Instant {} && now - m_lastFailure < m_options.removalGrace;
+            const bool afterOutage = m_lastFailure != Base::Instant {} && now - m_lastFailure < m_options.removalDelay;
             if (record.removed && record.kind == Configuration::RecordKind::Endpoint && afterOutage) {
                 m_callbacks.removalDeferred(record);
                 const std::string key = record.key;
-                m_removals[key] = {std::move(record), m_lastFailure + m_options.removalGrace};
+                m_removals[key] = {std::move(record), m_lastFailure + m_options.removalDelay};
             } else {
                 reported.push_back(std::move(record));
             }
         }
         if (!reported.empty()) {
-            m_callbacks.records(std::move(reported));
+            m_callbacks.recordsRead(std::move(reported));
         }
     }
 
+    /// Passes on the deferred removals whose delay is over.
     void reportDueRemovals(Base::Instant now)
     {
         std::vector<Record> due;
@@ -338,7 +344,7 @@
             m_removals.erase(record.key);
         }
         if (!due.empty()) {
-            m_callbacks.records(std::move(due));
+            m_callbacks.recordsRead(std::move(due));
         }
     }
 
@@ -346,7 +352,7 @@
     RecordWatcherOptions m_options;
     std::mt19937_64 m_random;
     RecordWatcherCallbacks m_callbacks;
-    std::array<TableState, 2> m_tables;
+    std::array<KindState, 2> m_states;
     std::map<std::string, Removal> m_removals; ///< deferred removals, by key
     Base::Instant m_lastResponse {};
     Base::Instant m_lastFailure {};
--- a/Source/Node/scalingduty.h
+++ b/Source/Node/scalingduty.h
@@ -36,8 +36,8 @@
     std::uint64_t failures = 0; ///< orders that failed
 };
 
-/// Takes part in the duty of scaling pools and executes the actions of its Scaler. @p P: the platform's calls, as in
-/// Platform::DutyClient.
+/// Takes part in the duty of scaling pools, which one host of the fleet at a time holds by a lease, and executes the actions of
+/// its Scaler. @p P: the platform's calls, as in Platform::DutyClient.
 template<typename P>
 class ScalingDuty
 {
@@ -83,6 +83,7 @@
     static constexpr std::string_view dutyName = "scaling";
     /// Delay after the start, by which the other hosts and the endpoints are known.
     static constexpr Base::Duration startupDelay = std::chrono::seconds(2);
+    /// Number of hosts, by rank, that may take over the duty.
     static constexpr std::size_t maxCandidates = 3;
 
     void execute(const Scaling::ReadRow &)
--- a/Source/Node/storefollower.h
+++ b/Source/Node/storefollower.h
@@ -41,16 +41,19 @@
     StoreFollower(F &feed, Fleet &fleet, StoreFollowerOptions options)
         : m_fleet(fleet)
         , m_options(std::move(options))
-        , m_watcher(feed, m_options.watcher, m_options.seed,
-                    RecordWatcherCallbacks {
-                        .records = [this](const std::vector<Configuration::Record> &records) { m_fleet.mergeRecords(records); },
-                        .removalDeferred = [this](const Configuration::Record &record) { m_fleet.markRecordPending(record); },
-                        .storeStateChanged = [this](const StoreUpdate &update) { storeStateChanged(update); },
-                        .knownEndpoints = [this] { return m_fleet.endpointRecords(); }})
+        , m_watcher(
+              feed, m_options.watcher, m_options.seed,
+              RecordWatcherCallbacks {
+                  .recordsRead = [this](const std::vector<Configuration::Record> &records) { m_fleet.mergeRecords(records); },
+                  .removalDeferred = [this](const Configuration::Record &record) { m_fleet.markRecordPending(record); },
+                  .storeStateChanged = [this](const StoreUpdate &update) { storeStateChanged(update); },
+                  .knownEndpoints = [this] { return m_fleet.endpointRecords(); }})
         , m_delegation(DelegationOptions {}, m_options.seed)
     {
     }
 
+    /// Calls the store if this host is to follow it, replies to requesting hosts, and delegates if necessary. Call several times
+    /// a second.
     void tick(Base::Instant now)
     {
         const std::optional<FollowReason> selected = m_fleet.followReason(now);
@@ -81,6 +84,7 @@
         tick(now);
     }
 
+    /// Handles the reply of host @p from to a request to follow in place of this host.
     void receive(Base::Instant, const std::string &from, const Peer::FollowAnswer &answer)
     {
         m_delegation.receiveReply(from, answer.follows);
@@ -98,6 +102,7 @@
     /// After a call has failed, the next call is assumed to fail too for this long.
     static constexpr Base::Duration recentFailureTime = std::chrono::seconds(2);
 
+    /// Sets why this host follows the store, and logs a change.
     void setReason(std::optional<FollowReason> reason)
     {
         if (reason == m_reason) {
@@ -136,6 +141,7 @@
         }
     }
 
+    /// Logs that the store began or ceased to respond to this host, and reports it to the fleet.
     void storeStateChanged(const StoreUpdate &update)
     {
         Base::log(update.responds ? Base::LogLevel::Info : Base::LogLevel::Warning,
--- a/Source/Node/usageduty.h
+++ b/Source/Node/usageduty.h
@@ -51,10 +51,12 @@
     std::optional<std::size_t> rank; ///< number of hosts that precede this one for the duty
     std::size_t reportingHosts = 0; ///< hosts whose counts this host received recently
     std::uint64_t reports = 0; ///< accepted reports
-    std::uint64_t failures = 0;
+    std::uint64_t failures = 0; ///< reports that failed
 };
 
-/// Counts usage at one host and takes part in the duty of reporting it. @p P: the platform's calls.
+/// Counts usage at one host and takes part in the duty of reporting it. One host of the fleet at a time, the holder, has the
+/// lease of the duty. It fixes the counts of each window of time, that is, stores them so that they no longer change, and reports
+/// them. @p P: the platform's calls.
 template<DutyPlatform P>
 class UsageDuty
 {
@@ -92,13 +94,14 @@
             sendCounts(now);
         }
         // Before the counts and clocks of the other hosts have arrived, a window would be fixed with incomplete counts.
-        const bool settled = now - m_started >= startupDelay;
-        const std::optional<std::size_t> rank = settled && m_rank && *m_rank < maxCandidates ? m_rank : std::nullopt;
+        const bool startupOver = now - m_started >= startupDelay;
+        const std::optional<std::size_t> rank = startupOver && m_rank && *m_rank < maxCandidates ? m_rank : std::nullopt;
         for (Usage::ReporterAction &action : m_reporter.tick(now, m_clock.at(now), rank, m_fleetCounts)) {
             std::visit([this](auto &entry) { this->execute(entry); }, action);
         }
     }
 
+    /// Adds the counts of host @p from, and replies with the fleet's time and the newest fixed window.
     void receive(Base::Instant now, const std::string &from, std::uint64_t incarnation, const Peer::UsageCounts &counts)
     {
         const Base::Duration offset(counts.clock - m_clock.at(now));
@@ -107,6 +110,7 @@
         m_send(from, Peer::UsageReceived {fleetTime, m_reporter.fixedUpTo(), m_reporter.isHolder()});
     }
 
+    /// Corrects the clock by the fleet's time, and notes which host holds the duty.
     void receive(Base::Instant now, const std::string &from, const Peer::UsageReceived &received)
     {
         if (const Base::Duration by = m_clock.correct(now, received.clock); by != Base::Duration::zero()) {
@@ -138,12 +142,14 @@
     /// Period at which counts are sent. A host that is killed loses the counts that it has not sent: at most one second of a
     /// window of five.
     static constexpr Base::Duration sendPeriod = std::chrono::seconds(1);
+    /// Delay after the start, by which the counts and clocks of the other hosts are known.
     static constexpr Base::Duration startupDelay = std::chrono::seconds(3);
     /// Number of hosts that get all counts beside the holder, so that a host that takes over the duty has them.
     static constexpr std::size_t collectorCount = 2;
     /// Number of hosts, by rank, that may take over the duty.
     static constexpr std::size_t maxCandidates = 3;
 
+    /// Sends the counts of this host to the collectors and the holder.
     void sendCounts(Base::Instant now)
     {
         const Usage::WindowNumber currentWindow = Usage::windowOf(m_clock.at(now), m_options.reporter.window);
@@ -205,7 +211,7 @@
     Base::Instant m_started;
     Base::Instant m_nextSend {};
     std::optional<std::size_t> m_rank;
-    std::vector<std::string> m_collectors;
+    std::vector<std::string> m_collectors; ///< hosts that get all counts beside the holder
     bool m_holderPresent = false;
     std::string m_holder; ///< the other host that last announced that it holds the duty
     std::uint64_t m_reports = 0;
--- a/Tests/Node/recordwatchertest.cpp
+++ b/Tests/Node/recordwatchertest.cpp
@@ -63,7 +63,7 @@
         feed,
         {},
         1,
-        {.records = [this](std::vector<Record> records) { std::ranges::move(records, std::back_inserter(reported)); },
+        {.recordsRead = [this](std::vector<Record> records) { std::ranges::move(records, std::back_inserter(reported)); },
          .removalDeferred = [this](const Record &record) { removalDeferred.push_back(record); },
          .storeStateChanged = [this](const Node::StoreUpdate &update) { responds.push_back(update.responds); },
          .knownEndpoints = [this] { return peerEndpoints; }}};
