--- a/Source/Node/delegation.cpp
+++ b/Source/Node/delegation.cpp
@@ -15,9 +15,9 @@
 {
 }
 
-std::vector<std::string> Delegation::tick(Base::Instant now, bool canServe, const std::vector<std::string> &candidates)
+std::vector<std::string> Delegation::tick(Base::Instant now, bool canPerform, const std::vector<std::string> &candidates)
 {
-    if (canServe) {
+    if (canPerform) {
         reset();
         return {};
     }
--- a/Source/Node/fleet.cpp
+++ b/Source/Node/fleet.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 constexpr std::size_t gossipFanout = 3; ///< number of hosts to which a host sends a new change as soon as it learns of it
-constexpr Base::Duration pollPeriodPerHost
-    = std::chrono::milliseconds(10); ///< grows with the fleet, so that the load on the store does not
+/// Minimum period of reading the store, per host of the fleet, so that the load on the store does not grow with the fleet.
+constexpr Base::Duration pollPeriodPerHost = std::chrono::milliseconds(10);
 constexpr Base::Duration hostListPeriod = std::chrono::seconds(1);
 constexpr Base::Duration hostListPeriodPerHost = std::chrono::milliseconds(20);
 
@@ -30,7 +30,9 @@
 /// a platform allows.
 constexpr int decodePauseFactor = 8;
 constexpr Base::Duration maxDecodePause = std::chrono::milliseconds(400);
+/// Source of a configuration that a host read from the store itself, in logs.
 constexpr std::string_view storeSourceName = "store";
+/// Name of the duty of following the store; hosts are ranked by its hash.
 constexpr std::string_view followDuty = "follow-store";
 /// How long a host substitutes for an unresponsive follower. After that time the whole fleet knows that the follower is
 /// suspected, and the host with the next rank has replaced it.
--- a/Source/Node/pullscheduler.h
+++ b/Source/Node/pullscheduler.h
@@ -19,10 +19,11 @@
     Digest, ///< a digest over several kinds of records: if two differ, each host may have records that the other lacks
 };
 
+/// What to request from another host.
 enum class Pull {
     None,
-    Endpoints, ///< only the small and urgent changes, since another host is already sending all
-    All,
+    Endpoints, ///< only endpoint records, which are small and urgent, while another host sends all changes
+    All, ///< all changes
 };
 
 /// Schedules requests to other hosts, called pulls. All changes are requested from one host at a time. When a large configuration
--- a/Source/Node/settings.h
+++ b/Source/Node/settings.h
@@ -29,6 +29,7 @@
     {OperatorRight::Command, "command"},
 }};
 
+/// An operator who may use the operators' HTTP interface.
 struct OperatorAccount
 {
     std::string name;
@@ -72,7 +73,7 @@
     std::string advertisedPeer; ///< peer address that is announced to other hosts, ip:port
     std::vector<std::string> seeds; ///< peer addresses, ip:port
     PlatformForm platformForm = PlatformForm::Table;
-    Base::Address platform;
+    Base::Address platform; ///< address of the platform's table service or store
     Base::Duration platformTimeout {};
     Base::Duration platformSettledAfter {}; ///< time after a disruption at which the platform relies on the hosts again
     Base::Duration configurationPoll {}; ///< minimum period of reading the table
--- a/Tests/Node/delegationtest.cpp
+++ b/Tests/Node/delegationtest.cpp
@@ -26,10 +26,10 @@
         }
     }
 
-    std::vector<std::string> hostsToAskAfter(Base::Duration time, bool canServe = false)
+    std::vector<std::string> hostsToAskAfter(Base::Duration time, bool canPerform = false)
     {
         now += time;
-        return delegation.tick(now, canServe, candidates);
+        return delegation.tick(now, canPerform, candidates);
     }
 
     void decline(const std::vector<std::string> &asked)
