--- a/Source/Node/daemon.cpp
+++ b/Source/Node/daemon.cpp
@@ -105,7 +105,7 @@
                                                       .changed = [this] { fleetChanged(); },
                                                       .incarnationEnded =
                                                           [this](const std::string &member, std::uint64_t kept) {
-                                                              m_dispatcher.homeGone(Base::now(), member, kept);
+                                                              m_dispatcher.removeHome(Base::now(), member, kept);
                                                               executePendingActions();
                                                           },
                                                       .endpointsLeaving =
@@ -192,15 +192,15 @@
                                                           m_settings.platformTimeout);
     UsageDutyOptions options {.host = m_settings.name, .incarnation = m_incarnation};
     options.reporter.window = m_settings.usageWindow;
-    options.reporter.lease.quiet = m_settings.dutyTakeoverDelay + dutyMargin;
-    options.reporter.lease.actFor = m_settings.dutyTakeoverDelay - dutyMargin * 2;
+    options.reporter.lease.takeoverDelay = m_settings.dutyTakeoverDelay + dutyMargin;
+    options.reporter.lease.validity = m_settings.dutyTakeoverDelay - dutyMargin * 2;
     m_usage = std::make_unique<UsageDuty<Platform::DutyClient>>(
         *m_dutyClient, options, Base::now(), Base::wallMicroseconds(),
         [this](const std::string &member, Peer::Message message) { sendToMember(member, std::move(message)); });
     if (m_settings.scaling != ScalingMode::Off) {
         ScalingDutyOptions scaling {.host = m_settings.name, .incarnation = m_incarnation};
         scaling.scaler.lease = options.reporter.lease;
-        scaling.scaler.dry = m_settings.scaling == ScalingMode::Dry;
+        scaling.scaler.dryRun = m_settings.scaling == ScalingMode::Dry;
         m_scaling = std::make_unique<ScalingDuty<Platform::DutyClient>>(*m_dutyClient, scaling, Base::now());
     }
     updateDuties();
@@ -240,13 +240,13 @@
     }
     std::visit([this](const auto &entry) { handlePeer(entry); }, *peer);
     executePendingActions();
-    const auto *received = std::get_if<Peer::Received>(peer);
+    const auto *received = std::get_if<Peer::MessagesReceived>(peer);
     if (received != nullptr && received->token != 0) {
-        m_peers->handled(received->token);
+        m_peers->markHandled(received->token);
     }
 }
 
-void Daemon::handlePeer(const Peer::Received &received)
+void Daemon::handlePeer(const Peer::MessagesReceived &received)
 {
     const Base::Instant now = Base::now();
     const Dispatch::Home from {received.from, received.incarnation};
@@ -294,7 +294,7 @@
     sendToMember(from, Peer::Gathered {gather.id, rows.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace)});
 }
 
-void Daemon::handlePeer(const Peer::Lost &lost)
+void Daemon::handlePeer(const Peer::MessagesLost &lost)
 {
     const std::string member = m_fleet->memberByAddress(lost.address);
     if (!member.empty()) {
@@ -326,7 +326,7 @@
         }
         void operator()(const Relay::EndpointStated &stated) const
         {
-            frontend.endpointStated(stated);
+            frontend.endpointAdvertised(stated);
         }
         void operator()(Relay::RunOver &over) const
         {
@@ -579,11 +579,11 @@
     m_metrics.set("yokepond_local_runs_total", "", static_cast<double>(m_home.counters().localRuns));
     m_metrics.set("yokepond_stale_grants_total", "", static_cast<double>(m_home.counters().staleGrants));
     m_metrics.set("yokepond_returned_grants_total", "", static_cast<double>(m_home.counters().returnedGrants));
-    m_metrics.set("yokepond_runs_turned_away_total", "", static_cast<double>(m_home.counters().turnedAway));
-    m_metrics.set("yokepond_runs_at_closed_endpoints_total", "", static_cast<double>(m_home.counters().sentToClosed));
+    m_metrics.set("yokepond_runs_turned_away_total", "", static_cast<double>(m_home.counters().rejectedRuns));
+    m_metrics.set("yokepond_runs_at_closed_endpoints_total", "", static_cast<double>(m_home.counters().sentToUnavailable));
     const Request::QuarantineCounters &quarantine = m_home.quarantine().counters();
     m_metrics.set("yokepond_runs_suspected_total", "", static_cast<double>(quarantine.suspected));
-    m_metrics.set("yokepond_work_held_total", "", static_cast<double>(quarantine.held));
+    m_metrics.set("yokepond_work_held_total", "", static_cast<double>(quarantine.quarantined));
     m_metrics.set("yokepond_work_cleared_total", "", static_cast<double>(quarantine.cleared));
     if (m_usage != nullptr) {
         const UsageView usage = m_usage->view(Base::now());
@@ -647,8 +647,8 @@
               {"local-runs", home.localRuns},
               {"stale-grants", home.staleGrants}}},
             {"operations",
-             {{"known", m_frontend->operations().known()},
-              {"held-bytes", m_frontend->operations().heldBytes()},
+             {{"known", m_frontend->operations().count()},
+              {"held-bytes", m_frontend->operations().responseBytes()},
               {"unrecorded", m_frontend->unrecorded()}}},
             {"open-calls", m_relay->counters().open.load()},
             {"invariant-violations", Base::invariantViolations()}};
--- a/Source/Node/daemon.h
+++ b/Source/Node/daemon.h
@@ -60,8 +60,8 @@
     void startDuties();
     void reloadSettings();
     void handle(ThreadEvent event);
-    void handlePeer(const Peer::Received &received);
-    void handlePeer(const Peer::Lost &lost);
+    void handlePeer(const Peer::MessagesReceived &received);
+    void handlePeer(const Peer::MessagesLost &lost);
     void handleRelay(Relay::Event event);
     void replyToGather(const std::string &from, const Peer::Gather &gather);
     void sendToMember(const std::string &member, Peer::Message message);
@@ -107,7 +107,7 @@
     std::unique_ptr<Queries> m_queries;
     std::unique_ptr<Gatherer> m_gatherer;
     std::unique_ptr<OperatorServer> m_operatorServer;
-    std::unique_ptr<Base::Loop::Timer> m_timer;
+    std::unique_ptr<Base::Loop::Registration> m_timer;
     bool m_executingActions = false;
     bool m_wasReady = false;
     StopStage m_stopStage = StopStage::None;
--- a/Source/Node/errorresponse.cpp
+++ b/Source/Node/errorresponse.cpp
@@ -32,7 +32,7 @@
     const int status = Base::httpStatus(Base::errorKind(error));
     // That a request crashes endpoints is an assumption of this fleet and may be wrong, so it is not reported as an error of the
     // client.
-    const bool workQuarantined = Base::errorKind(error) == Base::ErrorKind::EndsEndpoints;
+    const bool workQuarantined = Base::errorKind(error) == Base::ErrorKind::CrashesEndpoints;
     const bool clientError
         = !workQuarantined && status >= httpBadRequest && status < httpServerError && status != httpTooManyRequests;
     if (outcome == Request::Outcome::NotRun) {
--- a/Source/Node/fleet.cpp
+++ b/Source/Node/fleet.cpp
@@ -114,7 +114,7 @@
         m_polling = false;
         if (answered != m_storeResponds) {
             Base::log(answered ? Base::LogLevel::Info : Base::LogLevel::Warning,
-                      answered ? Base::LogEvent::StoreBack : Base::LogEvent::StoreLost,
+                      answered ? Base::LogEvent::StoreRecovered : Base::LogEvent::StoreLost,
                       {{"platform", m_settings.platform.text()}, {"revision", m_replica.revision()}});
         }
         m_storeResponds = answered;
@@ -233,8 +233,8 @@
     Base::log(Base::LogLevel::Info, Base::LogEvent::ChangesSent,
               {{"to", to},
                {"kind", Base::nameOf(Configuration::recordKindNames, kind)},
-               {"since", since.of(kind)},
-               {"version", m_records.revisions().of(kind)},
+               {"since", since.forKind(kind)},
+               {"version", m_records.revisions().forKind(kind)},
                {"base", packed->base},
                {"bytes", packed->bytes.size()}});
     m_callbacks.send(addressOf(to), Peer::Changes {{}, {}, std::move(packed->bytes), packed->base});
@@ -249,7 +249,7 @@
     m_pullScheduler.receiveReply(from);
     const std::uint64_t before = m_replica.revision();
     const bool grown = m_replica.update({changes.snapshot, changes.log});
-    Base::require(m_replica.revision() >= before, Base::Invariant::RevisionGrows);
+    Base::checkInvariant(m_replica.revision() >= before, Base::Invariant::RevisionGrows);
     if (grown) {
         configurationUpdated();
     }
@@ -328,7 +328,7 @@
 /// second or two, until the suspicion has reached the hosts with the next ranks: all followers may be unresponsive at once.
 void Fleet::replaceUnresponsiveFollowers(Base::Instant now)
 {
-    for (const std::string &name : m_swim.takeFoundSilent()) {
+    for (const std::string &name : m_swim.takeNewSuspects()) {
         if (std::ranges::find(m_followers, name) != m_followers.end()) {
             m_substituteUntil = now + substituteDuration;
         }
@@ -343,7 +343,7 @@
     std::ranges::copy_if(presentMembers, std::back_inserter(unsuspected), [this](const Peer::Member &member) {
         return member.state != Peer::MemberState::Suspect || member.name == m_settings.name;
     });
-    m_followers = Membership::picked(followDuty, unsuspected, m_settings.storeFollowers);
+    m_followers = Membership::selectMembers(followDuty, unsuspected, m_settings.storeFollowers);
     m_isSelected = std::ranges::find(m_followers, m_settings.name) != m_followers.end();
     m_nonFollowers.clear();
     for (const Peer::Member &member : unsuspected) {
@@ -437,7 +437,7 @@
 
 void Fleet::markRecordPending(const Configuration::Record &record)
 {
-    m_records.expect(record);
+    m_records.markUnconfirmed(record);
     m_swim.setRevision(m_records.digest());
 }
 
@@ -454,7 +454,7 @@
     // The records are decoded at the next tick, so that changes that arrive together are decoded together.
     m_decodePending = true;
     // Hosts that do not follow the store themselves request what they lack.
-    m_swim.tellRevision(gossipFanout);
+    m_swim.announceRevision(gossipFanout);
     flushMembership();
 }
 
--- a/Source/Node/frontend.cpp
+++ b/Source/Node/frontend.cpp
@@ -111,8 +111,8 @@
     AdmittedRequest admitted;
     admitted.id = call.id;
     admitted.requestClass = requestClass;
-    admitted.engine = catalogue->poolNumbered(requestClass.pool) != nullptr
-        && catalogue->poolNumbered(requestClass.pool)->kind == PoolKind::Engine;
+    admitted.engine = catalogue->poolByNumber(requestClass.pool) != nullptr
+        && catalogue->poolByNumber(requestClass.pool)->kind == PoolKind::Engine;
     admitted.arrived = Base::now();
     admitted.callersName = call.callersName;
     admitted.rank = requestClass.rank;
@@ -212,11 +212,11 @@
         return makeError(ErrorKind::UnknownClass,
                          fmt::format("send Yokepond-Class; organisation '{}' has no default class", organisation.name));
     }
-    const RequestClass *requestClass = catalogue->classNamed(name);
+    const RequestClass *requestClass = catalogue->classByName(name);
     if (requestClass == nullptr) {
         return makeError(ErrorKind::UnknownClass, fmt::format("there is no class '{}'", name));
     }
-    const Configuration::Pool *pool = catalogue->poolNumbered(requestClass->pool);
+    const Configuration::Pool *pool = catalogue->poolByNumber(requestClass->pool);
     const PoolKind kind = servicePool.empty() ? PoolKind::Engine : PoolKind::Service;
     if (pool == nullptr || pool->kind != kind || (kind == PoolKind::Service && pool->name != servicePool)) {
         return makeError(
@@ -254,7 +254,7 @@
     request.expectedTokens = call.expectedTokens;
     request.rank = admitted.rank;
     request.timeLeft = call.timeLeft;
-    admitted.work = Base::mixed(call.work, admitted.organisation);
+    admitted.work = Base::combineHashes(call.work, admitted.organisation);
     request.work = admitted.work;
     request.streams = call.streams || admitted.requestClass.streams;
     m_admitted.emplace(call.id, std::move(admitted));
@@ -281,16 +281,16 @@
         refuse(call.id, makeError(ErrorKind::InProgress, "the operation is still running; retry later, or send Prefer: wait"),
                Outcome::Unknown);
         return;
-    case OperationState::Held: {
-        Http::Response response = m_operations.answer(admitted.organisation, admitted.operationKey);
+    case OperationState::ResponseStored: {
+        Http::Response response = m_operations.storedResponse(admitted.organisation, admitted.operationKey);
         response.headers.push_back({"yokepond-request", requestName(call.id)});
         response.headers.push_back({"yokepond-outcome", "completed"});
         response.headers.push_back({"yokepond-replayed", "yes"});
         respond(call.id, std::move(response));
         return;
     }
-    case OperationState::NotHeld:
-        refuse(call.id, makeError(ErrorKind::AnswerNotHeld, "the operation completed; its response is no longer stored"),
+    case OperationState::ResponseDropped:
+        refuse(call.id, makeError(ErrorKind::ResponseNotStored, "the operation completed; its response is no longer stored"),
                Outcome::Completed);
         return;
     case OperationState::Unknown:
@@ -339,7 +339,7 @@
     }
     if (ticket->home == m_settings.name && ticket->incarnation == m_incarnation) {
         const bool unused = m_unusedTickets.erase(ticket->number) > 0;
-        if (!unused && !m_operations.knows(admitted.organisation, admitted.operationKey)) {
+        if (!unused && !m_operations.contains(admitted.organisation, admitted.operationKey)) {
             // The ticket was used, or it expired. If its outcome is still known, it is in the table.
             respondFromJournal(operationCall(admitted));
             return;
@@ -356,7 +356,7 @@
 
 void Frontend::startWithClaim(const CallArrived &call, AdmittedRequest admitted)
 {
-    if (m_operations.knows(admitted.organisation, admitted.operationKey)) {
+    if (m_operations.contains(admitted.organisation, admitted.operationKey)) {
         startOperation(call, std::move(admitted));
         return;
     }
@@ -367,7 +367,7 @@
         key, bodyDigest,
         [this, call, admitted = std::move(admitted)](Request::ClaimResult result, const OperationRecord &record) mutable {
             const bool callerConnected = m_claiming.erase(call.id) > 0;
-            if (result == Request::ClaimResult::Unavailable || (result == Request::ClaimResult::Mine && !callerConnected)) {
+            if (result == Request::ClaimResult::Unavailable || (result == Request::ClaimResult::Acquired && !callerConnected)) {
                 // The claim may already be in the table, or may still be written to it. Its token shows later that nothing ran
                 // under it.
                 if (m_abandonedClaims.size() < maxAbandonedClaims) {
@@ -378,11 +378,11 @@
                 return;
             }
             switch (result) {
-            case Request::ClaimResult::Mine:
+            case Request::ClaimResult::Acquired:
                 admitted.record = record;
                 startOperation(call, std::move(admitted));
                 return;
-            case Request::ClaimResult::Taken:
+            case Request::ClaimResult::AlreadyClaimed:
                 handleExistingClaim(call, std::move(admitted), record);
                 return;
             case Request::ClaimResult::Unavailable:
@@ -405,7 +405,7 @@
     }
     const bool claimedHere = record.home == m_settings.name && record.incarnation == m_incarnation;
     const bool abandoned = claimedHere && m_abandonedClaims.erase(record.token) > 0;
-    if (abandoned || m_operations.knows(admitted.organisation, admitted.operationKey)) {
+    if (abandoned || m_operations.contains(admitted.organisation, admitted.operationKey)) {
         admitted.record = record;
         startOperation(call, std::move(admitted));
         return;
@@ -415,7 +415,8 @@
         return;
     }
     if (record.outcome == Outcome::Completed) {
-        refuse(call.id, makeError(ErrorKind::AnswerNotHeld, "the operation completed; its response is not stored on this host"),
+        refuse(call.id,
+               makeError(ErrorKind::ResponseNotStored, "the operation completed; its response is not stored on this host"),
                Outcome::Completed);
         return;
     }
@@ -437,7 +438,8 @@
             refuse(call.call,
                    makeError(ErrorKind::KeyReused, "the Idempotency-Key was used for another request; take a new one"));
         } else if (record != nullptr && record->outcome == Outcome::Completed) {
-            refuse(call.call, makeError(ErrorKind::AnswerNotHeld, "the operation completed; its response is no longer stored"),
+            refuse(call.call,
+                   makeError(ErrorKind::ResponseNotStored, "the operation completed; its response is no longer stored"),
                    Outcome::Completed);
         } else {
             refuse(call.call,
@@ -482,7 +484,7 @@
         } else {
             refuse(call,
                    error.ok()
-                       ? makeError(ErrorKind::AnswerNotHeld, "the operation completed; its response was too large to store")
+                       ? makeError(ErrorKind::ResponseNotStored, "the operation completed; its response was too large to store")
                        : error,
                    outcome);
         }
@@ -495,7 +497,7 @@
 {
     const auto entry = m_admitted.find(run.id.request);
     const auto catalogue = m_fleet.catalogue();
-    const Configuration::Endpoint *endpoint = catalogue->endpointNumbered(run.endpoint);
+    const Configuration::Endpoint *endpoint = catalogue->endpointByNumber(run.endpoint);
     // The dispatcher may not know yet that the endpoint is leaving or was removed.
     if (entry == m_admitted.end() || endpoint == nullptr || endpoint->drained) {
         m_home.runEnded(Base::now(), {.id = run.id, .stage = Request::RunStage::Stale});
@@ -513,18 +515,18 @@
     command.deadline = admitted.deadline;
     command.address = endpoint->address.text();
     // The run would wait for a keeper that is leaving or was removed.
-    if (const auto *keeper = catalogue->endpointNumbered(run.keeper); keeper != nullptr && !keeper->drained) {
+    if (const auto *keeper = catalogue->endpointByNumber(run.keeper); keeper != nullptr && !keeper->drained) {
         command.keeper = keeper->address.text();
     }
     command.path = admitted.path;
     command.engine = admitted.engine;
     command.priority = admitted.rank == 0 ? admitted.requestClass.rank : admitted.rank;
     command.repeatable = admitted.requestClass.repeatable;
-    command.tellRate = run.tellRate;
+    command.reportRate = run.reportRate;
     command.holdAnswer = !admitted.operationKey.empty();
     command.operationKey = admitted.operationKey;
     command.fence
-        = endpoint->checksOrders ? fmt::format("{:016x}.{:016x}.{:03}", m_incarnation, run.id.request, run.id.attempt) : "";
+        = endpoint->checksFence ? fmt::format("{:016x}.{:016x}.{:03}", m_incarnation, run.id.request, run.id.attempt) : "";
     command.startBy = run.startBy;
     m_callbacks.relay(std::move(command));
 }
@@ -534,9 +536,9 @@
     m_callbacks.relay(Relay::Stop {cancel.request});
 }
 
-void Frontend::endpointStated(const Relay::EndpointStated &stated)
+void Frontend::endpointAdvertised(const Relay::EndpointStated &stated)
 {
-    m_home.endpointStated(Base::now(), stated.id, stated.endpoint, stated.stated);
+    m_home.endpointAdvertised(Base::now(), stated.id, stated.endpoint, stated.stated);
 }
 
 void Frontend::runReported(Relay::RunOver over)
@@ -547,7 +549,7 @@
         admitted.runResponse = std::move(over.answer);
         admitted.lastRun = over.report;
         ClassMetrics &metrics = m_metrics.forClass(admitted.requestClass.name);
-        const bool whole = over.report.stage == Request::RunStage::Whole;
+        const bool whole = over.report.stage == Request::RunStage::ResponseComplete;
         metrics.tokens += over.report.tokens;
         metrics.wastedTokens += whole ? 0 : over.report.tokens;
         if (whole) {
@@ -563,17 +565,17 @@
         }
     }
     m_home.runEnded(Base::now(), over.report);
-    if (!over.report.callerGone) {
+    if (!over.report.callerDisconnected) {
         return;
     }
     if (const auto disconnected = m_admitted.find(over.report.id.request); disconnected != m_admitted.end()) {
         const AdmittedRequest admitted = std::move(disconnected->second);
         m_admitted.erase(disconnected);
         logRequestEnd(admitted, Outcome::Unknown,
-                      makeError(ErrorKind::CallerGone, "the caller disconnected while the request ran"));
+                      makeError(ErrorKind::CallerDisconnected, "the caller disconnected while the request ran"));
         const Outcome outcome = over.report.stage == Request::RunStage::Stale ? Outcome::NotRun : Outcome::Unknown;
         finishOperation(admitted, outcome, std::nullopt,
-                        makeError(ErrorKind::CallerGone, "the caller that started the operation disconnected"));
+                        makeError(ErrorKind::CallerDisconnected, "the caller that started the operation disconnected"));
     }
 }
 
@@ -622,15 +624,16 @@
     const bool operation = !entry->second.operationKey.empty();
     const AdmittedRequest admitted = entry->second;
     const std::size_t before = m_home.active();
-    m_home.callerGone(Base::now(), id);
+    m_home.callerDisconnected(Base::now(), id);
     if (m_home.active() < before) {
         // The request had not started, so it ends here.
         m_admitted.erase(id);
         logRequestEnd(admitted, Outcome::NotRun,
-                      makeError(ErrorKind::CallerGone, "the caller disconnected before the request ran"));
+                      makeError(ErrorKind::CallerDisconnected, "the caller disconnected before the request ran"));
         if (operation) {
-            finishOperation(admitted, Outcome::NotRun, std::nullopt,
-                            makeError(ErrorKind::CallerGone, "the caller that started the operation disconnected before it ran"));
+            finishOperation(
+                admitted, Outcome::NotRun, std::nullopt,
+                makeError(ErrorKind::CallerDisconnected, "the caller that started the operation disconnected before it ran"));
         }
     }
 }
@@ -764,7 +767,7 @@
 
 std::size_t Frontend::unrecorded() const
 {
-    return m_journal.waiting();
+    return m_journal.pendingOutcomes();
 }
 
 Forwarder &Frontend::forwarder()
--- a/Source/Node/frontend.h
+++ b/Source/Node/frontend.h
@@ -48,7 +48,7 @@
     // Events of the relay
     void callArrived(const Relay::CallArrived &call);
     void callerDisconnected(std::uint64_t id);
-    void endpointStated(const Relay::EndpointStated &stated);
+    void endpointAdvertised(const Relay::EndpointStated &stated);
     void runReported(Relay::RunOver over);
 
     // Actions of the home
--- a/Source/Node/queries.cpp
+++ b/Source/Node/queries.cpp
@@ -174,13 +174,13 @@
 
 std::string Queries::className(std::uint32_t number) const
 {
-    const auto *object = m_fleet.catalogue()->classNumbered(number);
+    const auto *object = m_fleet.catalogue()->classByNumber(number);
     return object == nullptr ? fmt::format("#{}", number) : object->name;
 }
 
 std::string Queries::endpointName(std::uint32_t number) const
 {
-    const auto *object = m_fleet.catalogue()->endpointNumbered(number);
+    const auto *object = m_fleet.catalogue()->endpointByNumber(number);
     return object == nullptr ? (number == 0 ? "" : fmt::format("#{}", number)) : object->name;
 }
 
@@ -188,7 +188,7 @@
 {
     QueryResult result {{"id", "class", "organisation", "state", "age-ms", "attempt", "endpoint", "dispatcher", "home"}, {}, {}};
     for (const Request::RequestView &view : m_home.requests(now)) {
-        const auto *organisation = m_fleet.catalogue()->organisationNumbered(view.organisation);
+        const auto *organisation = m_fleet.catalogue()->organisationByNumber(view.organisation);
         result.rows.push_back({{"id", m_frontend.requestName(view.id)},
                                {"class", className(view.requestClass)},
                                {"organisation", organisation == nullptr ? "" : organisation->name},
@@ -226,13 +226,13 @@
 /// Returns the state of an endpoint that matters most to an operator.
 std::string_view Queries::displayState(const Dispatch::EndpointView &view)
 {
-    if (view.saysItLeaves) {
+    if (view.announcedLeaving) {
         return "leaving";
     }
     if (view.drained) {
         return "drained";
     }
-    return view.rests ? "resting" : Base::nameOf(Dispatch::healthStateNames, view.health);
+    return view.coolingDown ? "resting" : Base::nameOf(Dispatch::healthStateNames, view.health);
 }
 
 QueryResult Queries::endpoints() const
@@ -243,11 +243,11 @@
                         {}};
     for (const auto &[id, shard] : m_dispatcher.shards()) {
         for (const Dispatch::EndpointView &view : shard.endpoints()) {
-            const auto *endpoint = m_fleet.catalogue()->endpointNumbered(view.endpoint);
+            const auto *endpoint = m_fleet.catalogue()->endpointByNumber(view.endpoint);
             if (endpoint == nullptr) {
                 continue;
             }
-            const auto *pool = m_fleet.catalogue()->poolNumbered(endpoint->pool);
+            const auto *pool = m_fleet.catalogue()->poolByNumber(endpoint->pool);
             result.rows.push_back({{"name", endpoint->name},
                                    {"pool", pool == nullptr ? "" : pool->name},
                                    {"address", endpoint->address.text()},
@@ -257,7 +257,7 @@
                                    {"window", view.window},
                                    {"slots", endpoint->slots},
                                    {"first-token-ms", view.firstTokenMs},
-                                   {"pace-ms", view.paceMs},
+                                   {"pace-ms", view.interTokenLatencyMs},
                                    {"rate", view.ratePerSecond ? nlohmann::json(*view.ratePerSecond) : nlohmann::json("")},
                                    {"dispatcher", m_settings.name}});
         }
@@ -286,7 +286,7 @@
     QueryResult result {
         {"shard", "pool", "data-centre", "host", "endpoints", "waiting", "running", "granted", "refused", "shed"}, {}, {}};
     for (const auto &[id, shard] : m_dispatcher.shards()) {
-        const auto *pool = m_fleet.catalogue()->poolNumbered(shard.info().pool);
+        const auto *pool = m_fleet.catalogue()->poolByNumber(shard.info().pool);
         result.rows.push_back({{"shard", fmt::format("{:08x}", id)},
                                {"pool", pool == nullptr ? "" : pool->name},
                                {"data-centre", shard.info().dataCentre},
@@ -348,9 +348,9 @@
     QueryResult result {{"work", "state", "round", "left-s", "host"}, {}, {}};
     for (const Request::QuarantineView &view : m_home.quarantine().view(now)) {
         result.rows.push_back({{"work", Base::hexadecimal(view.work)},
-                               {"state", view.held ? "held" : "cleared"},
+                               {"state", view.quarantined ? "held" : "cleared"},
                                {"round", view.round},
-                               {"left-s", std::chrono::duration_cast<std::chrono::seconds>(view.left).count()},
+                               {"left-s", std::chrono::duration_cast<std::chrono::seconds>(view.remaining).count()},
                                {"host", m_settings.name}});
     }
     return result;
@@ -368,7 +368,7 @@
         result.rows.push_back({{"revision", change.revision},
                                {"id", change.id},
                                {"at", change.atMicroseconds / 1'000'000},
-                               {"by", change.by},
+                               {"by", change.author},
                                {"reason", change.reason},
                                {"objects", absl::StrJoin(names, ", ")}});
     }
@@ -446,7 +446,7 @@
                  {"reason", reason},
                  {"detail",
                   fmt::format("{} running of a window of {}; first token {:.0f} ms, pace {:.1f} ms; {} asks wait in shard {:08x}",
-                              view.running, view.window, view.firstTokenMs, view.paceMs, shard.queued(), id)}});
+                              view.running, view.window, view.firstTokenMs, view.interTokenLatencyMs, shard.queued(), id)}});
         }
     }
     return result;
@@ -455,7 +455,7 @@
 QueryResult Queries::whyClass(const std::string &name, Base::Instant now) const
 {
     QueryResult result {{"host", "reason", "detail"}, {}, {}};
-    const auto *requestClass = m_fleet.catalogue()->classNamed(name);
+    const auto *requestClass = m_fleet.catalogue()->classByName(name);
     if (requestClass == nullptr) {
         return result;
     }
@@ -467,10 +467,10 @@
         std::size_t pastTarget = 0;
         std::size_t higherTier = 0;
         for (const Dispatch::QueuedAsk *ask : shard.queuedAsks()) {
-            const bool own = ask->terms.number == requestClass->number;
+            const bool own = ask->parameters.number == requestClass->number;
             waiting += own ? 1 : 0;
             pastTarget += own && ask->target() < now ? 1 : 0;
-            higherTier += ask->terms.rank < requestClass->rank ? 1 : 0;
+            higherTier += ask->parameters.rank < requestClass->rank ? 1 : 0;
         }
         std::size_t healthyCount = 0;
         for (const Dispatch::EndpointView &view : shard.endpoints()) {
--- a/Source/Node/recordwatcher.h
+++ b/Source/Node/recordwatcher.h
@@ -228,7 +228,7 @@
     {
         const Base::Instant now = m_options.clock();
         state.calling = false;
-        if (!page.ok() && Base::errorKind(page.status()) == Base::ErrorKind::HistoryGone) {
+        if (!page.ok() && Base::errorKind(page.status()) == Base::ErrorKind::HistoryCompacted) {
             state.needsFullRead = true;
             state.nextCallAt = now;
             return;
--- a/Source/Node/settings.cpp
+++ b/Source/Node/settings.cpp
@@ -81,7 +81,7 @@
     Membership::SwimOptions options;
     options.period = milliseconds(ini, "membership", "period-ms", 400, 10);
     options.probeTimeout = milliseconds(ini, "membership", "probe-timeout-ms", 150, 1);
-    options.leastSuspicionPeriods = static_cast<unsigned int>(ini.number("membership", "suspicion-periods", 3, 1, 100));
+    options.minSuspicionPeriods = static_cast<unsigned int>(ini.number("membership", "suspicion-periods", 3, 1, 100));
     if (options.probeTimeout >= options.period) {
         ini.reject("membership", "probe-timeout-ms", "less than period-ms");
     }
@@ -119,14 +119,14 @@
     policies.retryPercent = static_cast<std::uint32_t>(share * percent);
     const double slack = ini.decimal("retries", "slack", 0.0, 0.0, 100'000.0);
     if (slack > 0) {
-        policies.retryReserve = slack * usableSlackShare;
-        policies.mostRetries = slack * usableSlackShare;
-        policies.retriesAreShared = true;
+        policies.initialRetryBudget = slack * usableSlackShare;
+        policies.maxRetryBudget = slack * usableSlackShare;
+        policies.retryBudgetIsShared = true;
     }
-    policies.mostEndings = static_cast<std::uint32_t>(ini.number("retries", "most-endings", policies.mostEndings, 0, 100));
+    policies.maxCrashes = static_cast<std::uint32_t>(ini.number("retries", "most-endings", policies.maxCrashes, 0, 100));
     // A restarted endpoint has another name on a platform with records, so a long time does no harm.
-    constexpr std::int64_t leavingKept = 600;
-    policies.leavingKept = std::chrono::seconds(ini.number("dispatch", "leaving-kept", leavingKept, 1, 86'400));
+    constexpr std::int64_t leavingTimeout = 600;
+    policies.leavingTimeout = std::chrono::seconds(ini.number("dispatch", "leaving-kept", leavingTimeout, 1, 86'400));
     const auto placement = Base::valueOf(Configuration::placementNames, ini.text("dispatch", "placement", "affinity"));
     if (!placement) {
         ini.reject("dispatch", "placement", "affinity, least-loaded, round-robin or soonest-first-token");
@@ -204,7 +204,7 @@
     settings.callerLimits = parseLimits(ini);
     settings.membership = parseMembership(ini);
     settings.operations.kept = milliseconds(ini, "operations", "kept-ms", hourMs);
-    settings.operations.heldBytes = static_cast<std::size_t>(ini.number("operations", "held-bytes", 16 << 20, 0, 1 << 30));
+    settings.operations.responseBytes = static_cast<std::size_t>(ini.number("operations", "held-bytes", 16 << 20, 0, 1 << 30));
     // No tickets are issued with PlatformForm::Records, since its requests carry no idempotency keys.
     const bool ticketsUsed = settings.platformForm == PlatformForm::Table;
     settings.ticketSecret = ticketsUsed ? ini.requiredText("tickets", "secret") : ini.text("tickets", "secret", "");
--- a/Source/Node/storefollower.h
+++ b/Source/Node/storefollower.h
@@ -145,7 +145,7 @@
     void storeStateChanged(const StoreUpdate &update)
     {
         Base::log(update.responds ? Base::LogLevel::Info : Base::LogLevel::Warning,
-                  update.responds ? Base::LogEvent::StoreBack : Base::LogEvent::StoreLost,
+                  update.responds ? Base::LogEvent::StoreRecovered : Base::LogEvent::StoreLost,
                   {{"platform", m_options.platform},
                    {"revision", m_fleet.revision()},
                    {"kind", Base::nameOf(Configuration::recordKindNames, update.kind)},
--- a/Source/Node/usageduty.h
+++ b/Source/Node/usageduty.h
@@ -83,7 +83,7 @@
     void setMembers(const std::vector<Peer::Member> &members)
     {
         m_rank = Membership::rankOf(m_options.host, dutyName, members);
-        m_collectors = Membership::picked(dutyName, members, collectorCount);
+        m_collectors = Membership::selectMembers(dutyName, members, collectorCount);
         m_holderPresent = std::ranges::find(members, m_holder, &Peer::Member::name) != members.end();
     }
 
@@ -105,7 +105,7 @@
     void receive(Base::Instant now, const std::string &from, std::uint64_t incarnation, const Peer::UsageCounts &counts)
     {
         const Base::Duration offset(counts.clock - m_clock.at(now));
-        m_fleetCounts.take(now, from, incarnation, offset, counts.entries);
+        m_fleetCounts.update(now, from, incarnation, offset, counts.entries);
         const Usage::FleetTime fleetTime = m_clock.at(now) + m_fleetCounts.clockOffset(now).count();
         m_send(from, Peer::UsageReceived {fleetTime, m_reporter.fixedUpTo(), m_reporter.isHolder()});
     }
@@ -121,7 +121,7 @@
         if (received.holder && from != m_options.host) {
             m_holder = from;
             m_holderPresent = true;
-            m_reporter.heardFixed(received.fixedUpTo);
+            m_reporter.updateFixedUpTo(received.fixedUpTo);
         }
     }
 
@@ -134,7 +134,7 @@
 
     UsageView view(Base::Instant now) const
     {
-        return {m_reporter.view(now), m_rank, m_fleetCounts.hosts(now), m_reports, m_failures};
+        return {m_reporter.view(now), m_rank, m_fleetCounts.recentHosts(now), m_reports, m_failures};
     }
 
 private:
@@ -153,15 +153,15 @@
     void sendCounts(Base::Instant now)
     {
         const Usage::WindowNumber currentWindow = Usage::windowOf(m_clock.at(now), m_options.reporter.window);
-        m_ownCounts.forgetBefore(currentWindow);
-        m_fleetCounts.forgetBefore(currentWindow);
+        m_ownCounts.removeExpired(currentWindow);
+        m_fleetCounts.removeExpired(currentWindow);
         std::vector<std::string> to = m_collectors;
         if (m_holderPresent && std::ranges::find(to, m_holder) == to.end()) {
             to.push_back(m_holder);
         }
         const Peer::UsageCounts counts {m_clock.at(now), m_ownCounts.entries(m_reporter.fixedUpTo())};
         // This host adds its own counts directly, so that it has them if it takes over the duty.
-        m_fleetCounts.take(now, m_options.host, m_options.incarnation, Base::Duration::zero(), counts.entries);
+        m_fleetCounts.update(now, m_options.host, m_options.incarnation, Base::Duration::zero(), counts.entries);
         for (const std::string &member : to) {
             if (member != m_options.host) {
                 m_send(member, counts);
@@ -176,14 +176,14 @@
     void execute(const Usage::ReadRow &)
     {
         m_platform.readRow(std::string(dutyName),
-                           [this](const std::optional<Lease::StoredRow> &row) { m_reporter.rowRead(m_options.clock(), row); });
+                           [this](const std::optional<Lease::StoredRow> &row) { m_reporter.onRowRead(m_options.clock(), row); });
     }
 
     void execute(const Usage::WriteRow &write)
     {
         m_platform.writeRow(std::string(dutyName), write.expectedVersion, write.value,
                             [this](Lease::WriteResult result, std::uint64_t version, const std::optional<Lease::StoredRow> &row) {
-                                m_reporter.rowWritten(m_options.clock(), result, version, row);
+                                m_reporter.onRowWritten(m_options.clock(), result, version, row);
                             });
     }
 
@@ -196,7 +196,7 @@
             Base::log(accepted ? Base::LogLevel::Info : Base::LogLevel::Warning,
                       accepted ? Base::LogEvent::UsageReported : Base::LogEvent::UsageReportFailed,
                       {{"window", window}, {"fence", fence}, {"organisations", organisations}, {"answer", reason}});
-            m_reporter.reported(m_options.clock(), window, result);
+            m_reporter.onReported(m_options.clock(), window, result);
         };
         m_platform.report(m_options.host, report, handler);
     }
--- a/Source/Peer/message.h
+++ b/Source/Peer/message.h
@@ -6,10 +6,10 @@
 
 #pragma once
 
-#include "Availability/knownavailability.h"
+#include "Availability/availabilitystate.h"
 #include "Base/names.h"
 #include "Base/time.h"
-#include "Rate/knownrate.h"
+#include "Rate/ratestate.h"
 
 #include <cstdint>
 #include <string>
@@ -53,16 +53,16 @@
     Base::Instant startBy {}; ///< on the home's clock; a run must not start later
     std::uint32_t pressure = 0; ///< of the shard: asks queued and running per thousand of its endpoints' windows
     std::uint32_t keeper = 0; ///< endpoint from which the run's own takes what is kept of the prompt, 0 for none
-    Rate::RateWord rate; ///< by which the dispatcher counts at the endpoint
+    Rate::RateInfo rate; ///< by which the dispatcher counts at the endpoint
 };
 
 /// Tells a dispatcher what a home knows of an endpoint by the endpoint's own answers.
-struct EndpointNews
+struct EndpointUpdate
 {
     std::uint32_t shard = 0;
     std::uint32_t endpoint = 0;
-    Rate::RateWord rate;
-    Availability::AvailabilityWord availability;
+    Rate::RateInfo rate;
+    Availability::AvailabilityInfo availability;
 };
 
 enum class RefusalReason : std::uint8_t {
@@ -107,7 +107,16 @@
 };
 
 /// How a run ended, as its home saw it.
-enum class RunResult : std::uint8_t { Completed, NotStarted, Failed, Unreachable, Cancelled, Refused, AnsweredError, Gone };
+enum class RunResult : std::uint8_t {
+    Completed,
+    NotStarted,
+    Failed,
+    Unreachable,
+    Cancelled,
+    Rejected,
+    ErrorResponse,
+    EndpointReplaced
+};
 
 inline constexpr Base::NameTable<RunResult, 8> runResultNames = {{
     {RunResult::Completed, "completed"},
@@ -115,9 +124,9 @@
     {RunResult::Failed, "failed"},
     {RunResult::Unreachable, "unreachable"},
     {RunResult::Cancelled, "cancelled"},
-    {RunResult::Refused, "refused"},
-    {RunResult::AnsweredError, "answered-error"},
-    {RunResult::Gone, "gone"},
+    {RunResult::Rejected, "refused"},
+    {RunResult::ErrorResponse, "answered-error"},
+    {RunResult::EndpointReplaced, "gone"},
 }};
 
 /// Gives a permit back with what the home observed.
@@ -292,12 +301,12 @@
 {
     std::uint64_t work = 0;
     std::uint32_t round = 0; ///< grows each time that it is held
-    bool held = false; ///< false: it has ended well since, and is harmless
-    Base::Duration firstEndingAge {}; ///< of the endings that were counted; sent in whole milliseconds
-    Base::Duration left {}; ///< until the belief ends; sent in whole milliseconds
+    bool quarantined = false; ///< false: it has ended well since, and is harmless
+    Base::Duration firstCrashAge {}; ///< of the endings that were counted; sent in whole milliseconds
+    Base::Duration remaining {}; ///< until the belief ends; sent in whole milliseconds
 };
 
-struct QuarantineNews
+struct QuarantineUpdate
 {
     std::uint64_t digest = 0; ///< of all that the sender believes
     std::vector<QuarantineEntry> entries; ///< some of it, or all
@@ -305,7 +314,7 @@
 
 using Message = std::variant<Ask, Grant, Refusal, Withdrawal, Release, RunningReport, Probe, Acknowledgement, ChangesRequest,
                              Changes, Gather, Gathered, Forward, Forwarded, Queued, UsageCounts, UsageReceived, RunBroke,
-                             QuarantineNews, EndpointNews, FollowStore, FollowAnswer>;
+                             QuarantineUpdate, EndpointUpdate, FollowStore, FollowAnswer>;
 
 /// What a message is for; bytes on the wire are counted apart for each.
 enum class Traffic { Dispatch, Membership, Configuration, Query, Forwarding, Usage };
--- a/Source/Request/localwindow.cpp
+++ b/Source/Request/localwindow.cpp
@@ -36,13 +36,13 @@
 {
     const auto divisor = static_cast<std::uint32_t>(std::max<std::size_t>(1, hosts));
     const auto hasRoom = [&](std::uint32_t number) {
-        const Configuration::Endpoint *endpoint = catalogue.endpointNumbered(number);
+        const Configuration::Endpoint *endpoint = catalogue.endpointByNumber(number);
         return endpoint != nullptr && !endpoint->drained && !closed.contains(number)
             && running(number) < std::max(1U, endpoint->slots / divisor);
     };
     auto open = shard.endpoints | std::views::filter(hasRoom);
     const auto rank
-        = [&](std::uint32_t number) { return std::pair(running(number), ~Dispatch::preferenceWeight(number, shared)); };
+        = [&](std::uint32_t number) { return std::pair(running(number), ~Dispatch::rendezvousWeight(number, shared)); };
     const auto best = std::ranges::min_element(open, {}, rank);
     return best == open.end() ? std::nullopt : std::optional(*best);
 }
--- a/Tests/Node/errorresponsetest.cpp
+++ b/Tests/Node/errorresponsetest.cpp
@@ -27,7 +27,7 @@
 /// The status shows whether it has not run or may have run, and there is no Retry-After header.
 TEST(ErrorResponse, quarantinedWorkIsNoClientErrorAndHasNoRetryAfter)
 {
-    const absl::Status quarantined = Base::makeError(ErrorKind::EndsEndpoints, "why");
+    const absl::Status quarantined = Base::makeError(ErrorKind::CrashesEndpoints, "why");
     CHECK_EQUAL(503, Node::statusByOutcome(quarantined, Outcome::NotRun));
     CHECK_EQUAL(502, Node::statusByOutcome(quarantined, Outcome::Unknown));
     const Http::Response response = Node::errorResponse(quarantined, Outcome::NotRun, "r1", {});
--- a/Tests/Node/linkedfleet.h
+++ b/Tests/Node/linkedfleet.h
@@ -152,7 +152,7 @@
     std::size_t hostsWith(Configuration::RecordKind kind, std::uint64_t version) const
     {
         return static_cast<std::size_t>(
-            std::ranges::count_if(m_hosts, [&](const auto &host) { return host->appliedRevisions.of(kind) >= version; }));
+            std::ranges::count_if(m_hosts, [&](const auto &host) { return host->appliedRevisions.forKind(kind) >= version; }));
     }
 
     /// Returns the number of members that are present in the view of host @p index, itself included.
--- a/Tests/Node/recordwatchertest.cpp
+++ b/Tests/Node/recordwatchertest.cpp
@@ -117,7 +117,7 @@
 
 TEST(RecordWatcher, readsAllAgainAfterHistoryCompactionAndReportsRemovals)
 {
-    failAfterReadingTwoEndpoints(Base::ErrorKind::HistoryGone);
+    failAfterReadingTwoEndpoints(Base::ErrorKind::HistoryCompacted);
     tickAfter(std::chrono::seconds(2));
     CHECK_TRUE(feed.calls[endpoint]->fullRead);
     reported.clear();
--- a/Tests/Node/storefollowertest.cpp
+++ b/Tests/Node/storefollowertest.cpp
@@ -64,7 +64,7 @@
     {
         std::set<std::size_t> found;
         for (std::size_t host = 0; host < hosts; ++host) {
-            if (!exempt.contains(host) && fleet.appliedRevisions(host).of(kind) < newest.at(kind)) {
+            if (!exempt.contains(host) && fleet.appliedRevisions(host).forKind(kind) < newest.at(kind)) {
                 found.insert(host);
             }
         }
