--- a/Source/Node/fleet.cpp
+++ b/Source/Node/fleet.cpp
@@ -78,7 +78,7 @@
 void Fleet::tick(Base::Instant now)
 {
     m_swim.tick(now);
-    replaceUnresponsiveFollowers(now);
+    substituteForUnresponsiveFollowers(now);
     flushMembership();
     if (!usesRecords() && now >= m_nextPoll && !m_polling) {
         pollStore(now);
@@ -266,8 +266,8 @@
                   {{"from", from}, {"reason", Base::messageOf(records.status())}});
         return;
     }
-    // A message with endpoint records does not complete a request for the configuration. A message of the configuration does,
-    // even if it has no records.
+    // A message with endpoint records has no configuration revision, and the reply to a request for all changes ends with a
+    // message of the configuration, even if that has no records. Only the latter completes the request.
     const bool ofConfiguration = records->revisions.endpoints == 0;
     if (ofConfiguration) {
         m_pullScheduler.receiveReply(from);
@@ -326,7 +326,7 @@
 
 /// Makes this host substitute for a follower that it has just begun to suspect. Otherwise no host might follow the store for a
 /// second or two, until the suspicion has reached the hosts with the next ranks: all followers may be unresponsive at once.
-void Fleet::replaceUnresponsiveFollowers(Base::Instant now)
+void Fleet::substituteForUnresponsiveFollowers(Base::Instant now)
 {
     for (const std::string &name : m_swim.takeNewSuspects()) {
         if (std::ranges::find(m_followers, name) != m_followers.end()) {
@@ -435,7 +435,7 @@
     return found;
 }
 
-void Fleet::markRecordPending(const Configuration::Record &record)
+void Fleet::markRecordUnconfirmed(const Configuration::Record &record)
 {
     m_records.markUnconfirmed(record);
     m_swim.setRevision(m_records.digest());
@@ -453,7 +453,7 @@
     m_swim.setRevision(m_records.digest());
     // The records are decoded at the next tick, so that changes that arrive together are decoded together.
     m_decodePending = true;
-    // Hosts that do not follow the store themselves request what they lack.
+    // A host that gets the new revision and does not follow the store requests the changes that it lacks.
     m_swim.announceRevision(gossipFanout);
     flushMembership();
 }
--- a/Source/Node/fleet.h
+++ b/Source/Node/fleet.h
@@ -33,8 +33,8 @@
 {
     std::function<void(const std::string &address, Peer::Message message)> send;
     std::function<void()> changed; ///< the members, the configuration or the shards have changed
-    /// A member has died or restarted. keptIncarnation is its present incarnation; 0 if it has none.
-    std::function<void(const std::string &member, std::uint64_t keptIncarnation)> incarnationEnded;
+    /// A member has died or restarted. currentIncarnation is the incarnation after a restart, 0 after a death.
+    std::function<void(const std::string &member, std::uint64_t currentIncarnation)> incarnationEnded;
     std::function<void(std::vector<std::uint32_t> endpoints)> endpointsLeaving; ///< all that the platform lists as leaving
 };
 
@@ -43,8 +43,8 @@
     Selected, ///< selected by rank as one of the followers of the fleet
     Alone, ///< it receives no messages from other hosts
     NoConfiguration, ///< it has no configuration yet
-    FollowerSilent, ///< a selected host answered neither its probes nor those that others sent for it
-    Requested, ///< a selected host that gets no response from the store asked it to follow
+    FollowerSilent, ///< a selected follower answered neither this host's probes nor indirect ones
+    Requested, ///< a selected follower without responses from the store asked this host to follow
 };
 
 inline constexpr Base::NameTable<FollowReason, 5> followReasonNames = {{
@@ -66,9 +66,10 @@
 /// Decodes records in the platform's format into the parts of a catalogue.
 using RecordDecoder = std::function<absl::StatusOr<Configuration::CatalogueParts>(const Configuration::SiteRecords &records)>;
 
-/// Combines the membership (SWIM), the local copy of the configuration and the shard map, and keeps them up to date. The
-/// configuration is either a replica of the platform's table, or records of the platform that followers read from its store and
-/// send to the other hosts (Settings::platformForm).
+/// Combines the membership (SWIM), the local copy of the configuration and the shard map, and keeps them up to date. With
+/// PlatformForm::Table, the configuration is a replica of a table in the platform's table service (store()), which each host
+/// polls. With PlatformForm::Records, it consists of records in a store of the platform, which followers read and send to the
+/// other hosts.
 class Fleet
 {
 public:
@@ -93,11 +94,11 @@
     /// Returns the records of all present endpoints, read by this host or received from others.
     std::vector<Configuration::Record> endpointRecords() const;
 
-    /// Marks a state of a record that exists but is not applied yet. Until it is, this copy counts as incomplete, so that other
-    /// hosts do not rely on it.
-    void markRecordPending(const Configuration::Record &record);
+    /// Notes that the store has a newer state of a record, such as a deferred removal, that is not merged yet. Until a state with
+    /// at least that version is merged, the revisions of this copy do not include it.
+    void markRecordUnconfirmed(const Configuration::Record &record);
 
-    /// Updates whether the store responds, where it is not Fleet itself that sends the calls.
+    /// Tells Fleet whether the store responds, if StoreFollower calls the store and not Fleet itself.
     void updateStoreState(Base::Instant now, bool responds);
 
     /// Returns all known members, dead ones and this host included, by name.
@@ -120,7 +121,8 @@
     /// Returns the version and the source of the applied configuration; only with PlatformForm::Records.
     const ActiveConfiguration &activeConfiguration() const;
 
-    /// Returns the revision of the applied configuration. It never decreases.
+    /// Returns the revision of the applied configuration, a counter that never decreases. Probes carry this counter with
+    /// PlatformForm::Table, but a digest of the records with PlatformForm::Records.
     std::uint64_t revision() const;
     Configuration::Store<Platform::EtcdTable> &store();
     Platform::EtcdTable &table();
@@ -131,13 +133,13 @@
     /// Returns whether the last call to the platform's store was successful.
     bool storeResponds() const;
 
-    /// Returns why this host is to follow the store, or nothing if it is not to. In a large fleet only a few selected hosts
-    /// follow it, and the others request changes from them. A host without a configuration, or without contact to other hosts,
-    /// follows too.
+    /// Returns why this host is to follow the store by its own decision, or nothing if it is not to; requests of other hosts are
+    /// handled by StoreFollower. In a large fleet only a few selected hosts follow it, and the others request changes from them.
+    /// A host without a configuration, or without contact to other hosts, follows too.
     std::optional<FollowReason> followReason(Base::Instant now) const;
 
     /// Returns the present hosts that are neither selected followers nor suspected. They get changes from the followers, and each
-    /// of them can substitute for one.
+    /// of them can substitute for a follower.
     const std::vector<std::string> &nonFollowers() const;
 
 private:
@@ -165,7 +167,7 @@
     /// Returns whether the platform keeps the configuration as records (PlatformForm::Records).
     bool usesRecords() const;
     void flushMembership();
-    void replaceUnresponsiveFollowers(Base::Instant now);
+    void substituteForUnresponsiveFollowers(Base::Instant now);
     void selectFollowers(const std::vector<Peer::Member> &presentMembers);
     /// Updates the shard map and the followers after a change of members or configuration, and reports members that died or
     /// restarted.
--- a/Source/Node/frontend.cpp
+++ b/Source/Node/frontend.cpp
@@ -36,7 +36,7 @@
 constexpr int httpCreated = 201;
 /// Retry delay that a stopping host returns. It is short since the retry reaches another host.
 constexpr Base::Duration stoppingRetryAfter = std::chrono::milliseconds(1);
-/// Retry delay returned with a request that this host cannot route at present.
+/// Retry delay in the refusal of a request that this host cannot route at present.
 constexpr Base::Duration refusedRetryAfter = std::chrono::milliseconds(300);
 
 bool isCompletion(std::string_view path)
@@ -84,7 +84,7 @@
 void Frontend::callArrived(const CallArrived &call)
 {
     if (m_settings.platformForm == PlatformForm::Records) {
-        callArrivedByRoute(call);
+        handleCallByRoute(call);
         return;
     }
     const Organisation *organisation = call.keyDigest.empty() ? nullptr : m_fleet.catalogue()->organisationByKey(call.keyDigest);
@@ -96,10 +96,10 @@
         refuse(call.id, call.error);
         return;
     }
-    route(call, *organisation);
+    handleCallByPath(call, *organisation);
 }
 
-void Frontend::callArrivedByRoute(const CallArrived &call)
+void Frontend::handleCallByRoute(const CallArrived &call)
 {
     const auto catalogue = m_fleet.catalogue();
     auto routed = routeRequest(*catalogue, call);
@@ -123,7 +123,7 @@
     }
     const bool limited = call.timeLeft > Base::Duration::zero();
     admitted.deadline = admitted.arrived + (limited ? std::min(call.timeLeft, requestClass.deadline) : requestClass.deadline);
-    if (!endsBeforeStop(admitted)) {
+    if (!mayBeAdmitted(admitted)) {
         refuse(call.id, makeError(ErrorKind::Stopping, "this host is stopping; retry at another host"), Outcome::NotRun,
                stoppingRetryAfter);
         return;
@@ -131,7 +131,7 @@
     startRequest(call, std::move(admitted));
 }
 
-bool Frontend::endsBeforeStop(const AdmittedRequest &admitted) const
+bool Frontend::mayBeAdmitted(const AdmittedRequest &admitted) const
 {
     return admitted.arrived < m_admissionLimitedFrom || admitted.deadline < m_stopDeadline;
 }
@@ -142,7 +142,7 @@
     m_stopDeadline = end;
 }
 
-void Frontend::route(const CallArrived &call, const Organisation &organisation)
+void Frontend::handleCallByPath(const CallArrived &call, const Organisation &organisation)
 {
     if (call.method == "GET" && call.path == "/v1/models") {
         listModels(call.id);
@@ -368,8 +368,8 @@
         [this, call, admitted = std::move(admitted)](Request::ClaimResult result, const OperationRecord &record) mutable {
             const bool callerConnected = m_claiming.erase(call.id) > 0;
             if (result == Request::ClaimResult::Unavailable || (result == Request::ClaimResult::Acquired && !callerConnected)) {
-                // The claim may already be in the table, or may still be written to it. Its token shows later that nothing ran
-                // under it.
+                // The claim may already be in the table, or may still be written to it. Its token is kept, so that a retry can
+                // tell that the claimed operation has not run.
                 if (m_abandonedClaims.size() < maxAbandonedClaims) {
                     m_abandonedClaims.insert(record.token);
                 }
@@ -442,11 +442,12 @@
                    makeError(ErrorKind::ResponseNotStored, "the operation completed; its response is no longer stored"),
                    Outcome::Completed);
         } else {
-            refuse(call.call,
-                   makeError(ErrorKind::OutcomeUnknown,
-                             "the host that issued the ticket has stopped or restarted; it is unknown whether the operation ran, "
-                             "and it will not be run again"),
-                   Outcome::Unknown);
+            refuse(
+                call.call,
+                makeError(ErrorKind::OutcomeUnknown,
+                          "no outcome of the operation is known to this host or the table service; it may have run, and will not "
+                          "be run again"),
+                Outcome::Unknown);
         }
     });
 }
@@ -514,7 +515,8 @@
     command.organisation = admitted.organisationName;
     command.deadline = admitted.deadline;
     command.address = endpoint->address.text();
-    // The run would wait for a keeper that is leaving or was removed.
+    // The keeper is an endpoint that has a part of the prompt in its cache. The run would wait for one that is leaving or was
+    // removed.
     if (const auto *keeper = catalogue->endpointByNumber(run.keeper); keeper != nullptr && !keeper->drained) {
         command.keeper = keeper->address.text();
     }
@@ -664,8 +666,8 @@
         fields["caller"] = callersName;
     }
     const ErrorKind kind = Base::errorKind(error);
-    const bool causedByConfiguration = kind == ErrorKind::NotFound || kind == ErrorKind::Unauthenticated;
-    if (causedByConfiguration && m_settings.platformForm == PlatformForm::Records) {
+    const bool mayComeFromConfiguration = kind == ErrorKind::NotFound || kind == ErrorKind::Unauthenticated;
+    if (mayComeFromConfiguration && m_settings.platformForm == PlatformForm::Records) {
         const ActiveConfiguration &current = m_fleet.activeConfiguration();
         fields["configuration-version"] = current.version;
         fields["configuration-from"] = current.from;
@@ -721,8 +723,8 @@
     Http::Response response = errorResponse(error, outcome, requestName(call), retryAfter);
     if (m_settings.platformForm == PlatformForm::Records) {
         response.status = statusByOutcome(error, outcome);
-        // Callers of this protocol accept fractions of a second. Rounded up to a whole second, the delay would be most of the
-        // time that some of them wait.
+        // With PlatformForm::Records, callers accept fractions of a second. Rounded up to a whole second, the delay would use up
+        // most of the time that some callers wait for a response.
         const auto header = std::ranges::find(response.headers, "retry-after", &Http::Header::name);
         if (header != response.headers.end()) {
             header->value = fmt::format("{:.3f}", Base::seconds(retryAfter));
--- a/Source/Node/frontend.h
+++ b/Source/Node/frontend.h
@@ -34,9 +34,9 @@
 };
 
 /// Turns calls of the relay into requests of Request::Home, and the actions of the home into commands for the relay. The home of
-/// a request is the host that accepted it; only the home may run it. A request with an idempotency key is called an operation and
-/// runs at most once. Its key is either a ticket that a host issued, or chosen by the caller and then claimed in the platform's
-/// table. All functions are called on the event loop's thread.
+/// a request is the host that accepted it; only the home may run it, and Request::Home implements that part of a host. A request
+/// with an idempotency key is called an operation and runs at most once. Its key is either a ticket that a host issued, or chosen
+/// by the caller and then claimed in the platform's table. All functions are called on the event loop's thread.
 class Frontend
 {
 public:
@@ -59,8 +59,8 @@
 
     void tick(Base::Instant now);
 
-    /// Refuses requests that arrive by a route at or after @p from and whose deadline is not before @p end. A planned stop at
-    /// @p end then interrupts no request.
+    /// Refuses requests with PlatformForm::Records that arrive at or after the time point @p from and whose deadline is not
+    /// before @p end, so that a planned stop at @p end interrupts no request.
     void limitAdmission(Base::Instant from, Base::Instant end);
 
     /// Returns the number of requests that have no response yet, those forwarded to or by other hosts included.
@@ -90,11 +90,11 @@
         std::string callersName; ///< the caller's own name for the request; empty if its protocol has none
         std::string organisationName; ///< sent to the endpoint; may be empty
         std::string endpoint; ///< endpoint of the last run; empty before the first run
-        int rank = 0;
+        int rank = 0; ///< priority; 1 is the highest
         std::uint64_t work = 0; ///< see Request::NewRequest
         Base::Instant deadline {};
         Request::RunReport lastRun; ///< report of the last run that ended
-        bool engine = true;
+        bool engine = true; ///< the endpoints are engines, not services
         std::string operationKey; ///< idempotency key; empty if the request may run more than once
         std::string bodyDigest;
         Request::OperationRecord record; ///< record of the claim, if the key was claimed in the table
@@ -103,12 +103,12 @@
         std::optional<Http::Response> runResponse; ///< complete response of an operation, to be stored
     };
 
-    /// Handles a call with PlatformForm::Records, where routes determine class and organisation.
-    void callArrivedByRoute(const Relay::CallArrived &call);
-    /// Returns whether the planned stop leaves time for the request until its deadline.
-    bool endsBeforeStop(const AdmittedRequest &admitted) const;
-    /// Handles a call with PlatformForm::Table, after the organisation was authenticated.
-    void route(const Relay::CallArrived &call, const Configuration::Organisation &organisation);
+    /// Handles a call with PlatformForm::Records: a configured route determines the class of the request.
+    void handleCallByRoute(const Relay::CallArrived &call);
+    /// Returns whether limitAdmission() permits the request.
+    bool mayBeAdmitted(const AdmittedRequest &admitted) const;
+    /// Handles a call with PlatformForm::Table: the path and a header determine the class of the request.
+    void handleCallByPath(const Relay::CallArrived &call, const Configuration::Organisation &organisation);
     absl::StatusOr<AdmittedRequest> admit(const Relay::CallArrived &call, const Configuration::Organisation &organisation) const;
     absl::StatusOr<const Configuration::RequestClass *> selectClass(const Relay::CallArrived &call,
                                                                     const Configuration::Organisation &organisation,
@@ -123,7 +123,7 @@
     void startWithClaim(const Relay::CallArrived &call, AdmittedRequest admitted);
     /// Handles an operation whose key is claimed already: forwards it to its home, or responds with its outcome.
     void handleExistingClaim(const Relay::CallArrived &call, AdmittedRequest admitted, const Request::OperationRecord &record);
-    /// Passes a request to the home of this host.
+    /// Passes a request to m_home, which schedules its runs.
     void startHere(const Relay::CallArrived &call, AdmittedRequest admitted);
     static OperationCall operationCall(const AdmittedRequest &admitted);
     /// Responds with the outcome that the table has for an operation.
@@ -156,7 +156,8 @@
     std::unordered_map<std::uint64_t, AdmittedRequest> m_admitted; ///< requests by the relay's call number
     std::set<std::uint64_t> m_claiming; ///< calls whose claim the table has not answered yet
     std::map<std::uint64_t, Base::Instant> m_unusedTickets; ///< time of issue by ticket number
-    std::set<std::string> m_abandonedClaims; ///< tokens of claims under which nothing ran; a retry may use them
+    /// Tokens of claims in the table whose operations have not run; a retry may use them.
+    std::set<std::string> m_abandonedClaims;
     std::uint64_t m_nextTicket = 1;
     Base::Instant m_admissionLimitedFrom = Base::Instant::max(); ///< see limitAdmission()
     Base::Instant m_stopDeadline = Base::Instant::max(); ///< see limitAdmission()
--- a/Source/Node/pullscheduler.cpp
+++ b/Source/Node/pullscheduler.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Minimum time between two requests. A host whose processor quota is exhausted for 0.1 s takes about as long to reply.
+/// Minimum time between two requests. A host takes up to about 200 ms to reply if its processor quota is exhausted for 0.1 s.
 constexpr Base::Duration pullPeriod = std::chrono::milliseconds(200);
 /// Timeout after which another host is asked for all changes: the first one may be down or on a slow link. It is doubled each
 /// time up to the maximum, so that slow replies do not pile up. If three hosts in a row do not reply, the third times out
--- a/Source/Node/pullscheduler.h
+++ b/Source/Node/pullscheduler.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Decides when a host requests configuration changes from another host, and how many of them.
+/// Decides when a host requests configuration changes from another host, and whether all or only those of endpoints.
 
 #pragma once
 
@@ -26,16 +26,16 @@
     All, ///< all changes
 };
 
-/// Schedules requests to other hosts, called pulls. All changes are requested from one host at a time. When a large configuration
-/// was requested from each host that advertised it, the copies filled links of 10 Mbit/s for ten seconds: 6.3 MB per host for two
-/// versions (78 hosts, the hosts' own count of bytes received).
+/// Schedules requests to other hosts, called pulls. All changes are requested from one host at a time. Requests to each host that
+/// advertises a new revision would fill links of 10 Mbit/s with copies of a large configuration for ten seconds: in a fleet of 78
+/// hosts, each host counted 6.3 MB received for two versions.
 class PullScheduler
 {
 public:
     explicit PullScheduler(RevisionOrder order);
 
     /// Returns what to request now from host @p from, which advertised revision @p advertised, if this host has revision @p own.
-    /// Assumes that the request is then sent.
+    /// The caller must send that request: the scheduler records it as sent.
     Pull selectPull(Base::Instant now, const std::string &from, std::uint64_t advertised, std::uint64_t own);
 
     /// Records that host @p from has replied to a request for all changes.
--- a/Source/Node/recordwatcher.h
+++ b/Source/Node/recordwatcher.h
@@ -26,9 +26,9 @@
 namespace Yokepond::Node {
 
 /// Returns the time for which calls may ask to be held. During a disruption the store may lose the calls of all hosts, without
-/// an error. A lost call hangs until it times out, @p timeout after the end of its hold time. The next call must be answered
-/// before the platform relies on the hosts again, @p settledAfter the disruption: by then all changes that it acknowledged
-/// meanwhile must be applied.
+/// an error. A lost call hangs until it times out, @p timeout after the end of its hold time. The platform expects hosts to have
+/// applied all changes that it acknowledged during the disruption once the time @p settledAfter has passed since its end. The
+/// call after the lost one must be answered before that.
 constexpr Base::Duration maxHoldTime(Base::Duration settledAfter, Base::Duration timeout)
 {
     constexpr Base::Duration nextCallTime = std::chrono::milliseconds(300); ///< first retry delay, one tick and the response
@@ -39,7 +39,7 @@
 
 /// A held call counts as overdue this long after the end of its hold time; a working store ends it before.
 constexpr Base::Duration heldCallMargin = std::chrono::milliseconds(500);
-/// A full read counts as overdue after this time: reading a large configuration takes as long on a link of 10 Mbit/s.
+/// A full read counts as overdue after this time, which is the time that a large configuration takes on a link of 10 Mbit/s.
 constexpr Base::Duration fullReadTimeout = std::chrono::milliseconds(1000);
 
 /// Times and delays of a RecordWatcher. The defaults suit a platform that requires changes of endpoints to be applied within two
@@ -50,9 +50,10 @@
     Base::Duration holdTime = maxHoldTime(std::chrono::milliseconds(3000), std::chrono::milliseconds(1500));
     /// Minimum hold time as a fraction of @ref holdTime when calls are staggered.
     double minHoldFraction = 0.4;
-    /// Hold time after a failed call. It is zero since such a call only checks whether the store works again, and if it is
-    /// lost, it times out soon. With the usual hold time, calls that began just before the end of an outage hung for 4 s on all
-    /// hosts at once, and a configuration that the store accepted meanwhile was applied 0.2 s too late.
+    /// Hold time after a failed call. It is zero, because such a call only checks whether the store works again, and a lost call
+    /// without hold time times out soon. With the usual hold time, calls that began just before the end of an outage hung for 4 s
+    /// on all hosts at once, and hosts applied a configuration that the store had accepted meanwhile 0.2 s after the platform's
+    /// limit.
     Base::Duration holdTimeAfterFailure = Base::Duration::zero();
     /// Delay between a response about endpoints and the next call. It limits the number of calls, since heartbeats of endpoints
     /// may end each held call at once.
@@ -61,8 +62,8 @@
     /// Delay after a failed call; doubled with each further failure up to the maximum.
     Base::Duration initialRetryDelay = std::chrono::milliseconds(150);
     Base::Duration maxRetryDelay = std::chrono::milliseconds(1000);
-    /// Delay before removals of endpoints during an outage are reported: the store may drop records of endpoints that still
-    /// run, and these record themselves again.
+    /// Removals of endpoints that arrive within this time after a failed call are deferred until it is over. The store may drop
+    /// records of endpoints that still run during an outage, and such endpoints create their records again.
     Base::Duration removalDelay = std::chrono::milliseconds(2800);
     std::function<Base::Instant()> clock = Base::now; ///< current time, read when calls begin and end
 };
@@ -80,7 +81,8 @@
 struct RecordWatcherCallbacks
 {
     std::function<void(std::vector<Configuration::Record> records)> recordsRead; ///< gets records to be merged
-    std::function<void(const Configuration::Record &record)> removalDeferred; ///< gets a removal that is not reported yet
+    /// Gets a removal that will be passed to recordsRead later.
+    std::function<void(const Configuration::Record &record)> removalDeferred;
     std::function<void(const StoreUpdate &update)> storeStateChanged; ///< the store began or ceased to respond
     /// Returns the endpoints known to this host, from the store or from other hosts.
     std::function<std::vector<Configuration::Record>()> knownEndpoints;
@@ -124,8 +126,9 @@
         m_stagger = stagger;
     }
 
-    /// Returns whether, for each kind of record, the last call succeeded and the call in progress is not overdue.
-    bool isResponding(Base::Instant now) const
+    /// Returns whether, for each kind of record, the last call succeeded and the call in progress is not overdue. Unlike
+    /// responds(), this includes calls that have not ended.
+    bool hasNoFailedOrOverdueCall(Base::Instant now) const
     {
         return std::ranges::none_of(
             m_states, [now](const KindState &state) { return state.failures > 0 || (state.calling && now >= state.overdueAt); });
@@ -134,7 +137,7 @@
     /// Returns whether the store has responded since @p instant without a failure, or nothing if that is not known yet.
     std::optional<bool> respondedSince(Base::Instant now, Base::Instant instant) const
     {
-        if (!isResponding(now) || (m_lastFailure != Base::Instant {} && m_lastFailure >= instant)) {
+        if (!hasNoFailedOrOverdueCall(now) || (m_lastFailure != Base::Instant {} && m_lastFailure >= instant)) {
             return false;
         }
         return m_lastResponse != Base::Instant {} && m_lastResponse >= instant ? std::optional(true) : std::nullopt;
@@ -171,7 +174,7 @@
         bool calling = false;
         Base::Instant calledAt {};
         Base::Instant overdueAt {}; ///< when the call in progress counts as overdue
-        bool reactivated = true; ///< no call has succeeded since the watcher was last inactive
+        bool reactivated = true; ///< no call has succeeded since the start or since the watcher was last inactive
         unsigned int failures = 0; ///< consecutive failed calls
         bool retriedImmediately = false; ///< a failed call was retried without delay since the last response
         Base::Instant nextCallAt {};
@@ -217,8 +220,8 @@
         if (!m_stagger) {
             return m_options.holdTime;
         }
-        // Most hold times are close to the maximum, which keeps the number of calls low. Over all hosts, enough calls still end
-        // early.
+        // Most hold times are close to the maximum, which keeps the number of calls low. Among all hosts, some calls still end
+        // early and show whether the store responds.
         const double fraction = std::pow(std::uniform_real_distribution(0.0, 1.0)(m_random), 3);
         return std::chrono::duration_cast<Base::Duration>(m_options.holdTime
                                                           * (1.0 - (1.0 - m_options.minHoldFraction) * fraction));
@@ -285,20 +288,21 @@
         }
     }
 
-    /// Adds removals of the known records that a full read does not list, with the version of the read. This includes endpoints
-    /// that only other hosts have reported, since other hosts take this copy as complete up to the version of the read.
+    /// Adds removals of the known records that a full read does not list, with the version of the read. Endpoints that this host
+    /// knows only from other hosts are included: after the read, this copy is advertised as complete up to the version of the
+    /// read, so no host would learn of their removal otherwise.
     void addRemovals(const KindState &state, Platform::FeedPage &page) const
     {
-        std::map<std::string, std::uint64_t> present = state.knownVersions;
+        std::map<std::string, std::uint64_t> previous = state.knownVersions;
         if (state.kind == Configuration::RecordKind::Endpoint) {
             for (const Record &record : m_callbacks.knownEndpoints()) {
                 if (record.version <= page.version) {
-                    present.try_emplace(record.key, record.version);
+                    previous.try_emplace(record.key, record.version);
                 }
             }
         }
         std::vector<Record> missing;
-        for (const auto &[key, version] : present) {
+        for (const auto &[key, version] : previous) {
             if (std::ranges::find(page.records, key, &Record::key) == page.records.end()) {
                 missing.push_back({state.kind, key, std::max(version + 1, page.version), true, {}});
             }
@@ -306,7 +310,7 @@
         std::ranges::move(missing, std::back_inserter(page.records));
     }
 
-    /// Passes the records of a response on, except removals that are deferred after an outage.
+    /// Passes the records of a response on, except removals of endpoints shortly after a failed call, which are deferred.
     void applyRecords(KindState &state, Base::Instant now, std::vector<Record> records)
     {
         std::vector<Record> reported;
--- a/Source/Node/storefollower.h
+++ b/Source/Node/storefollower.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Makes a host follow the records in the platform's store when it is its turn.
+/// Makes a host follow the records in the platform's store while it is selected for that or another host has asked it to.
 
 #pragma once
 
@@ -45,7 +45,7 @@
               feed, m_options.watcher, m_options.seed,
               RecordWatcherCallbacks {
                   .recordsRead = [this](const std::vector<Configuration::Record> &records) { m_fleet.mergeRecords(records); },
-                  .removalDeferred = [this](const Configuration::Record &record) { m_fleet.markRecordPending(record); },
+                  .removalDeferred = [this](const Configuration::Record &record) { m_fleet.markRecordUnconfirmed(record); },
                   .storeStateChanged = [this](const StoreUpdate &update) { storeStateChanged(update); },
                   .knownEndpoints = [this] { return m_fleet.endpointRecords(); }})
         , m_delegation(DelegationOptions {}, m_options.seed)
@@ -56,8 +56,8 @@
     /// a second.
     void tick(Base::Instant now)
     {
-        const std::optional<FollowReason> selected = m_fleet.followReason(now);
-        setReason(selected || now >= m_requestedUntil ? selected : FollowReason::Requested);
+        const std::optional<FollowReason> fleetReason = m_fleet.followReason(now);
+        setReason(fleetReason || now >= m_requestedUntil ? fleetReason : FollowReason::Requested);
         m_watcher.staggerCalls(!m_fleet.nonFollowers().empty());
         m_watcher.tick(now, m_reason.has_value());
         if (m_reason) {
@@ -76,7 +76,8 @@
             return;
         }
         if (now >= m_requestedUntil) {
-            // If this host already follows, its last response is recent enough to tell whether the store responds.
+            // If this host already follows the store, the last response of the store counts; otherwise the host waits for a new
+            // one.
             m_requestedAt = m_reason ? m_watcher.lastResponse() : now;
         }
         m_requestedUntil = now + requestedFollowTime;
@@ -134,8 +135,8 @@
     /// responses delegates its duty, all hosts may keep an old configuration.
     void delegate(Base::Instant now)
     {
-        const bool canFollow = m_reason != FollowReason::Selected || m_watcher.isResponding(now);
-        for (const std::string &name : m_delegation.tick(now, canFollow, m_fleet.nonFollowers())) {
+        const bool needsNoDelegate = m_reason != FollowReason::Selected || m_watcher.hasNoFailedOrOverdueCall(now);
+        for (const std::string &name : m_delegation.tick(now, needsNoDelegate, m_fleet.nonFollowers())) {
             Base::log(Base::LogLevel::Info, Base::LogEvent::FollowDelegated, {{"to", name}});
             m_options.send(name, Peer::FollowStore {});
         }
@@ -160,7 +161,7 @@
     Delegation m_delegation;
     std::optional<FollowReason> m_reason;
     std::set<std::string> m_requesters; ///< hosts that have not been sent a reply yet
-    Base::Instant m_requestedAt {}; ///< time of the first request since the last period of following on request
+    Base::Instant m_requestedAt {}; ///< a response of the store since then is an answer to the requesting hosts
     Base::Instant m_requestedUntil {};
 };
 
