--- a/Source/Node/fleet.cpp
+++ b/Source/Node/fleet.cpp
@@ -19,23 +19,30 @@
 
 namespace {
 
-constexpr std::size_t gossipFanout = 3; ///< peers that a new change is pushed to by each host that learns of it
-constexpr Base::Duration pollPeriodPerHost = std::chrono::milliseconds(10); ///< keeps the fleet's reads on the store constant
+constexpr std::size_t gossipFanout = 3; ///< number of hosts to which a host sends a new change as soon as it learns of it
+/// Minimum period of reading the store, per host of the fleet, so that the load on the store does not grow with the fleet.
+constexpr Base::Duration pollPeriodPerHost = std::chrono::milliseconds(10);
 constexpr Base::Duration hostListPeriod = std::chrono::seconds(1);
 constexpr Base::Duration hostListPeriodPerHost = std::chrono::milliseconds(20);
 
-/// Of the time that reading all records took: a long list that changes often must not take up a small host. What changed is in
-/// force within the longest pause and a tick, well below the two seconds that a platform allows.
+/// Pause after decoding all records, as a multiple of the time that it took. Without it, a long list that changes often would use
+/// all processor time of a small host. A change is applied within the maximum pause plus a tick, well below the two seconds that
+/// a platform allows.
 constexpr int decodePauseFactor = 8;
 constexpr Base::Duration maxDecodePause = std::chrono::milliseconds(400);
+/// Source of a configuration that a host read from the store itself, in logs.
 constexpr std::string_view storeSourceName = "store";
+/// Name of the duty of following the store; hosts are ranked by its hash.
 constexpr std::string_view followDuty = "follow-store";
-/// By then the whole fleet knows that a follower is suspected, and the next by rank has taken its place.
+/// How long a host substitutes for an unresponsive follower. After that time the whole fleet knows that the follower is
+/// suspected, and the host with the next rank has replaced it.
 constexpr Base::Duration substituteDuration = std::chrono::seconds(4);
-/// A host hears of another at least once a period of the membership; after three, what it hears of changes may be out of date.
+/// A host receives a message from another at least once per membership period. After three periods without one it may have missed
+/// changes.
 constexpr Base::Duration peerSilenceLimit = std::chrono::milliseconds(1200);
 
-/// Any kind of message turns into a Peer::Message: whether an overload for it can be called would be true of all.
+/// Whether Fleet handles messages of type @p Kind. A test for a callable overload would not work here: any kind of message
+/// converts to Peer::Message, so it would hold for all of them.
 template<typename Kind>
 constexpr bool isForFleet = std::is_same_v<Kind, Peer::Probe> || std::is_same_v<Kind, Peer::Acknowledgement>
     || std::is_same_v<Kind, Peer::ChangesRequest> || std::is_same_v<Kind, Peer::Changes>;
@@ -43,23 +50,23 @@
 } // namespace
 
 Fleet::Fleet(const Settings &settings, Http::Client &client, std::uint64_t incarnation, Peer::Member self,
-             FleetCallbacks callbacks, DecodeSite decode)
+             FleetCallbacks callbacks, RecordDecoder decode)
     : m_settings(settings)
     , m_client(client)
     , m_callbacks(std::move(callbacks))
     , m_random(incarnation)
     , m_swim(std::move(self), settings.membership, incarnation)
-    , m_siteCatalogue(Configuration::Catalogue::build({}))
+    , m_recordCatalogue(Configuration::Catalogue::build({}))
     , m_decode(std::move(decode))
     , m_table(client, settings.platform, settings.platformTimeout)
     , m_store(m_table, m_replica, [this] { configurationUpdated(); })
     , m_shards(std::make_shared<Dispatch::ShardMap>())
     , m_pullScheduler(usesRecords() ? RevisionOrder::Digest : RevisionOrder::Counter)
 {
-    seedsChanged();
+    addSeeds();
 }
 
-void Fleet::seedsChanged()
+void Fleet::addSeeds()
 {
     for (const std::string &address : m_settings.seeds) {
         if (address != m_settings.advertisedPeer) {
@@ -71,7 +78,7 @@
 void Fleet::tick(Base::Instant now)
 {
     m_swim.tick(now);
-    replaceUnresponsiveFollowers(now);
+    substituteForUnresponsiveFollowers(now);
     flushMembership();
     if (!usesRecords() && now >= m_nextPoll && !m_polling) {
         pollStore(now);
@@ -79,7 +86,7 @@
     if (!usesRecords() && now >= m_nextHostList) {
         pollHostList(now);
     }
-    if (m_recordsChanged && now >= m_nextDecode) {
+    if (m_decodePending && now >= m_nextDecode) {
         decodeRecords(now);
     }
     if (m_swim.generation() != m_lastGeneration) {
@@ -210,7 +217,7 @@
         sendRecords(from, since, Configuration::RecordKind::Endpoint);
     }
     if (!request.endpointsOnly) {
-        // Also if there is nothing new: it ends the wait of whoever asked.
+        // Sent even if nothing is new, since the requester waits for a reply.
         sendRecords(from, since, Configuration::RecordKind::Configuration);
     }
 }
@@ -251,7 +258,7 @@
 void Fleet::applyRecordChanges(Base::Instant now, const std::string &from, const Peer::Changes &changes)
 {
     const auto records = Configuration::ChangesCodec::unpack(m_records, {changes.packed, changes.base});
-    // Whoever cannot use what differs from one configuration asks for the whole next time.
+    // If the delta cannot be applied, the next request asks for the whole configuration.
     m_baseMissing = !records.ok();
     if (!records.ok()) {
         m_pullScheduler.receiveReply(from);
@@ -259,7 +266,8 @@
                   {{"from", from}, {"reason", Base::messageOf(records.status())}});
         return;
     }
-    // What is of endpoints says nothing of the configuration; the configuration's may be empty, and is an answer all the same.
+    // A message with endpoint records has no configuration revision, and the reply to a request for all changes ends with a
+    // message of the configuration, even if that has no records. Only the latter completes the request.
     const bool ofConfiguration = records->revisions.endpoints == 0;
     if (ofConfiguration) {
         m_pullScheduler.receiveReply(from);
@@ -316,9 +324,9 @@
     }
 }
 
-/// Until the fleet knows that one that follows is suspected, whoever found it silent follows in its place: all that follow may be
-/// silent, and it takes a second or two until the next by rank has heard of it.
-void Fleet::replaceUnresponsiveFollowers(Base::Instant now)
+/// Makes this host substitute for a follower that it has just begun to suspect. Otherwise no host might follow the store for a
+/// second or two, until the suspicion has reached the hosts with the next ranks: all followers may be unresponsive at once.
+void Fleet::substituteForUnresponsiveFollowers(Base::Instant now)
 {
     for (const std::string &name : m_swim.takeNewSuspects()) {
         if (std::ranges::find(m_followers, name) != m_followers.end()) {
@@ -329,8 +337,8 @@
 
 void Fleet::selectFollowers(const std::vector<Peer::Member> &presentMembers)
 {
-    // One that is suspected may stand still or be cut off. Until that is known another follows in its place: two too many cost
-    // calls, none leaves all hosts with an old configuration.
+    // A suspected host may be frozen or partitioned, so another host follows in its place until that is known. Too many followers
+    // only cost calls; without any, all hosts would keep an old configuration.
     std::vector<Peer::Member> unsuspected;
     std::ranges::copy_if(presentMembers, std::back_inserter(unsuspected), [this](const Peer::Member &member) {
         return member.state != Peer::MemberState::Suspect || member.name == m_settings.name;
@@ -394,7 +402,7 @@
     return entry == members().end() || entry->second.state == Peer::MemberState::Dead ? std::string() : entry->second.address;
 }
 
-std::string Fleet::memberAt(const std::string &address) const
+std::string Fleet::memberByAddress(const std::string &address) const
 {
     const auto entry
         = std::ranges::find_if(members(), [&](const auto &candidate) { return candidate.second.address == address; });
@@ -427,7 +435,7 @@
     return found;
 }
 
-void Fleet::markRecordPending(const Configuration::Record &record)
+void Fleet::markRecordUnconfirmed(const Configuration::Record &record)
 {
     m_records.markUnconfirmed(record);
     m_swim.setRevision(m_records.digest());
@@ -443,22 +451,22 @@
 void Fleet::recordsChanged()
 {
     m_swim.setRevision(m_records.digest());
-    // Changes that come together are decoded together, at the next tick.
-    m_recordsChanged = true;
-    // The others follow the store too, or ask for what they lack.
+    // The records are decoded at the next tick, so that changes that arrive together are decoded together.
+    m_decodePending = true;
+    // A host that gets the new revision and does not follow the store requests the changes that it lacks.
     m_swim.announceRevision(gossipFanout);
     flushMembership();
 }
 
 void Fleet::decodeRecords(Base::Instant now)
 {
-    m_recordsChanged = false;
+    m_decodePending = false;
     auto parts = m_decode(m_records);
     if (parts.ok()) {
         parts->policies = m_settings.policies;
         logRejected(std::move(parts->rejected));
-        m_siteCatalogue = Configuration::Catalogue::assemble(std::move(*parts));
-        m_endpointsEverKnown = m_endpointsEverKnown || !m_siteCatalogue->endpoints().empty();
+        m_recordCatalogue = Configuration::Catalogue::assemble(std::move(*parts));
+        m_endpointsEverKnown = m_endpointsEverKnown || !m_recordCatalogue->endpoints().empty();
         if (m_activeConfiguration.version != m_records.revisions().configuration) {
             m_activeConfiguration = {m_records.revisions().configuration, m_configurationSource, now};
         }
@@ -467,11 +475,11 @@
                    {"configuration-version", m_activeConfiguration.version},
                    {"configuration-from", m_activeConfiguration.from},
                    {"endpoints-version", m_records.revisions().endpoints},
-                   {"routes", m_siteCatalogue->routes().size()},
-                   {"endpoints", m_siteCatalogue->endpoints().size()}});
+                   {"routes", m_recordCatalogue->routes().size()},
+                   {"endpoints", m_recordCatalogue->endpoints().size()}});
         rebuild();
     } else {
-        // The last good one stays in force.
+        // The last valid configuration stays in effect.
         Base::log(Base::LogLevel::Warning, Base::LogEvent::ConfigurationIgnored,
                   {{"revision", m_records.revision()}, {"reason", Base::messageOf(parts.status())}});
     }
@@ -479,7 +487,7 @@
     m_nextDecode = now + std::min(maxDecodePause, took * decodePauseFactor);
 }
 
-/// A line for each record that has become unusable.
+/// Logs a line for each record that was not rejected before.
 void Fleet::logRejected(std::vector<Configuration::RejectedRecord> rejected)
 {
     for (const Configuration::RejectedRecord &record : rejected) {
@@ -491,10 +499,10 @@
     m_rejected = std::move(rejected);
 }
 
-void Fleet::updateStoreState(Base::Instant now, bool answers)
+void Fleet::updateStoreState(Base::Instant now, bool responds)
 {
-    m_storeResponds = answers;
-    if (answers) {
+    m_storeResponds = responds;
+    if (responds) {
         m_lastStoreContact = now;
         m_storeEverResponded = true;
     }
@@ -502,7 +510,7 @@
 
 std::optional<FollowReason> Fleet::followReason(Base::Instant now) const
 {
-    if (m_siteCatalogue->routes().empty()) {
+    if (m_recordCatalogue->routes().empty()) {
         return FollowReason::NoConfiguration;
     }
     if (m_isSelected) {
@@ -527,7 +535,7 @@
 
 std::shared_ptr<const Configuration::Catalogue> Fleet::catalogue() const
 {
-    return usesRecords() ? m_siteCatalogue : m_replica.catalogue();
+    return usesRecords() ? m_recordCatalogue : m_replica.catalogue();
 }
 
 std::shared_ptr<const Dispatch::ShardMap> Fleet::shards() const
@@ -562,10 +570,10 @@
 
 absl::Status Fleet::readiness(Base::Instant now) const
 {
-    const bool none = usesRecords() ? m_siteCatalogue->routes().empty() : m_replica.revision() == 0 && !m_storeEverResponded;
+    const bool none = usesRecords() ? m_recordCatalogue->routes().empty() : m_replica.revision() == 0 && !m_storeEverResponded;
     if (usesRecords() && !none && !m_endpointsEverKnown) {
         return makeError(Base::ErrorKind::NotReady,
-                         "no endpoint is known yet: neither the table service nor a peer has told of one");
+                         "no endpoint is known yet: neither the table service nor a peer has sent one");
     }
     if (none) {
         return makeError(Base::ErrorKind::NotReady, "no configuration yet: neither the table service nor a peer has answered");
--- a/Source/Node/queries.cpp
+++ b/Source/Node/queries.cpp
@@ -21,6 +21,8 @@
 using Language::Comparison;
 using Language::Subject;
 
+/// Time within which other hosts must reply to a query.
+
 constexpr Base::Duration gatherTimeout = std::chrono::milliseconds(1000);
 constexpr std::size_t maxRows = 10'000;
 
@@ -29,7 +31,7 @@
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-/// Numbers compare as numbers, all else as text.
+/// Compares two values as numbers if both are numbers, otherwise as text. Returns a negative, zero or positive number.
 int compare(const std::string &left, const std::string &right)
 {
     double leftNumber = 0;
@@ -222,8 +224,8 @@
     return result;
 }
 
-/// What an operator is told first of it.
-std::string_view Queries::stateOf(const Dispatch::EndpointView &view)
+/// Returns the state of an endpoint that matters most to an operator.
+std::string_view Queries::displayState(const Dispatch::EndpointView &view)
 {
     if (view.announcedLeaving) {
         return "leaving";
@@ -251,7 +253,7 @@
                                    {"pool", pool == nullptr ? "" : pool->name},
                                    {"address", endpoint->address.text()},
                                    {"data-centre", endpoint->dataCentre},
-                                   {"state", stateOf(view)},
+                                   {"state", displayState(view)},
                                    {"running", view.running},
                                    {"window", view.window},
                                    {"slots", endpoint->slots},
@@ -400,7 +402,7 @@
             }
         }
     }
-    // The name carries the home's incarnation and the request's number, which is how dispatchers know it.
+    // Dispatchers identify a request by the incarnation of its home and its number, which are both parts of the name.
     const std::vector<std::string_view> parts = Base::split(name, '.');
     std::uint64_t incarnation = 0;
     std::uint64_t number = 0;
@@ -496,11 +498,11 @@
 {
 }
 
-void Gatherer::gather(Base::Instant now, const std::string &statement, const std::vector<std::string> &members, QueryResult own,
-                      Callback callback)
+void Gatherer::gather(Base::Instant now, const std::string &statement, const std::vector<std::string> &members,
+                      QueryResult ownResult, Callback callback)
 {
     const std::uint64_t id = m_nextId++;
-    m_pendingQueries.emplace(id, PendingQuery {std::move(own), members, now + gatherTimeout, std::move(callback)});
+    m_pendingQueries.emplace(id, PendingQuery {std::move(ownResult), members, now + gatherTimeout, std::move(callback)});
     for (const std::string &member : members) {
         m_send(member, Peer::Gather {id, statement});
     }
@@ -512,14 +514,14 @@
 void Gatherer::receive(const std::string &from, const Peer::Gathered &gathered)
 {
     const auto entry = m_pendingQueries.find(gathered.id);
-    if (entry == m_pendingQueries.end() || std::erase(entry->second.open, from) == 0) {
+    if (entry == m_pendingQueries.end() || std::erase(entry->second.pending, from) == 0) {
         return;
     }
     const nlohmann::json rows = nlohmann::json::parse(gathered.answer, nullptr, false);
     if (rows.is_array()) {
         std::ranges::copy(rows, std::back_inserter(entry->second.result.rows));
     }
-    if (entry->second.open.empty()) {
+    if (entry->second.pending.empty()) {
         finish(gathered.id);
     }
 }
@@ -528,7 +530,7 @@
 {
     std::vector<std::uint64_t> due;
     for (const auto &[id, pendingQuery] : m_pendingQueries) {
-        if (now >= pendingQuery.until) {
+        if (now >= pendingQuery.deadline) {
             due.push_back(id);
         }
     }
@@ -539,7 +541,7 @@
 {
     PendingQuery pendingQuery = std::move(m_pendingQueries.at(id));
     m_pendingQueries.erase(id);
-    pendingQuery.result.missing = std::move(pendingQuery.open);
+    pendingQuery.result.missing = std::move(pendingQuery.pending);
     pendingQuery.callback(std::move(pendingQuery.result));
 }
 
--- a/Source/Node/recordwatcher.h
+++ b/Source/Node/recordwatcher.h
@@ -2,7 +2,9 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Follows the configuration and the list of endpoints that the platform keeps, through its outages.
+/// Follows the configuration and the list of endpoints in the platform's store, also through outages of the store.
+///
+/// A call is "held" by the store until a record has changed or the requested time is over (long polling).
 
 #pragma once
 
@@ -23,62 +25,71 @@
 
 namespace Yokepond::Node {
 
-/// How long a call may be held by a platform that swallows calls while it is in trouble, of all hosts at once. Such a call hangs
-/// until it is given up, @p timeout later, and the next must be answered before the platform counts on the hosts again,
-/// @p settledAfter the trouble: all that it acknowledged meanwhile must be in force then.
+/// Returns the time for which calls may ask to be held. During a disruption the store may lose the calls of all hosts, without
+/// an error. A lost call hangs until it times out, @p timeout after the end of its hold time. The platform expects hosts to have
+/// applied all changes that it acknowledged during the disruption once the time @p settledAfter has passed since its end. The
+/// call after the lost one must be answered before that.
 constexpr Base::Duration maxHoldTime(Base::Duration settledAfter, Base::Duration timeout)
 {
-    constexpr Base::Duration nextCallTime = std::chrono::milliseconds(300); ///< the first retry, a tick and the answer
-    constexpr Base::Duration least = std::chrono::milliseconds(100); ///< calls cost
-    constexpr Base::Duration most = std::chrono::milliseconds(2500); ///< beyond this little is spared
-    return std::clamp(settledAfter - timeout - nextCallTime, least, most);
+    constexpr Base::Duration nextCallTime = std::chrono::milliseconds(300); ///< first retry delay, one tick and the response
+    constexpr Base::Duration minimum = std::chrono::milliseconds(100); ///< limits the number of calls
+    constexpr Base::Duration maximum = std::chrono::milliseconds(2500); ///< a longer time would save few calls
+    return std::clamp(settledAfter - timeout - nextCallTime, minimum, maximum);
 }
 
-/// A platform that answers ends a held call at most this long after the time for which it was asked to hold it.
+/// A held call counts as overdue this long after the end of its hold time; a working store ends it before.
 constexpr Base::Duration heldCallMargin = std::chrono::milliseconds(500);
-/// The whole of a large configuration takes as long on a link of 10 Mbit/s.
+/// A full read counts as overdue after this time, which is the time that a large configuration takes on a link of 10 Mbit/s.
 constexpr Base::Duration fullReadTimeout = std::chrono::milliseconds(1000);
 
-/// Pauses and waits of a watch; the defaults are for a platform that bounds changes of endpoints to two seconds.
+/// Times and delays of a RecordWatcher. The defaults suit a platform that requires changes of endpoints to be applied within two
+/// seconds.
 struct RecordWatcherOptions
 {
-    /// A held call is asked for this long.
+    /// Time for which a call asks to be held.
     Base::Duration holdTime = maxHoldTime(std::chrono::milliseconds(3000), std::chrono::milliseconds(1500));
-    /// Of @p wait, the least part for which a call is held where hosts spread their calls.
+    /// Minimum hold time as a fraction of @ref holdTime when calls are staggered.
     double minHoldFraction = 0.4;
-    /// The same after a failed call: whoever has just been swallowed asks whether the platform is back and is given up soon.
-    /// Held calls that began just before the end of an outage hung for 4 s on all hosts at once, and a configuration accepted
-    /// meanwhile came into force 0.2 s too late.
+    /// Hold time after a failed call. It is zero, because such a call only checks whether the store works again, and a lost call
+    /// without hold time times out soon. With the usual hold time, calls that began just before the end of an outage hung for 4 s
+    /// on all hosts at once, and hosts applied a configuration that the store had accepted meanwhile 0.2 s after the platform's
+    /// limit.
     Base::Duration holdTimeAfterFailure = Base::Duration::zero();
-    /// Between an answer about endpoints and the next call: heartbeats may end each held call at once, and calls cost.
+    /// Delay between a response about endpoints and the next call. It limits the number of calls, since heartbeats of endpoints
+    /// may end each held call at once.
     Base::Duration endpointPause = std::chrono::milliseconds(400);
     Base::Duration configurationPause = std::chrono::milliseconds(20);
-    /// After a failed call, doubled from failure to failure up to the longest.
+    /// Delay after a failed call; doubled with each further failure up to the maximum.
     Base::Duration initialRetryDelay = std::chrono::milliseconds(150);
     Base::Duration maxRetryDelay = std::chrono::milliseconds(1000);
-    /// Endpoints that the platform dropped while it was away are believed gone only after this: those that live come back.
-    Base::Duration removalGrace = std::chrono::milliseconds(2800);
-    std::function<Base::Instant()> clock = Base::now; ///< when calls begin and answers come
+    /// Removals of endpoints that arrive within this time after a failed call are deferred until it is over. The store may drop
+    /// records of endpoints that still run during an outage, and such endpoints create their records again.
+    Base::Duration removalDelay = std::chrono::milliseconds(2800);
+    std::function<Base::Instant()> clock = Base::now; ///< current time, read when calls begin and end
 };
 
-/// That the platform began or ceased to answer, by one call.
+/// The store began or ceased to respond, as the result of one call showed.
 struct StoreUpdate
 {
     bool responds = false;
-    Configuration::RecordKind kind {}; ///< of the records that the call was for
-    Base::Duration elapsed {}; ///< from the call to its answer or its failure
-    absl::Status error; ///< why it failed
+    Configuration::RecordKind kind {}; ///< kind of the records that the call was for
+    Base::Duration elapsed {}; ///< time from the call to its response or failure
+    absl::Status error; ///< why the call failed
 };
 
+/// Callbacks of RecordWatcher; all are called on the event loop's thread.
 struct RecordWatcherCallbacks
 {
-    std::function<void(std::vector<Configuration::Record> records)> records; ///< to be merged
-    std::function<void(const Configuration::Record &record)> removalDeferred; ///< known of, not believed yet
-    std::function<void(const StoreUpdate &news)> storeStateChanged; ///< when it changes
-    std::function<std::vector<Configuration::Record>()> knownEndpoints; ///< those that this host believes in, whoever told it
+    std::function<void(std::vector<Configuration::Record> records)> recordsRead; ///< gets records to be merged
+    /// Gets a removal that will be passed to recordsRead later.
+    std::function<void(const Configuration::Record &record)> removalDeferred;
+    std::function<void(const StoreUpdate &update)> storeStateChanged; ///< the store began or ceased to respond
+    /// Returns the endpoints known to this host, from the store or from other hosts.
+    std::function<std::vector<Configuration::Record>()> knownEndpoints;
 };
 
-/// Tells what it reads by records(); what is held there already is passed over by its version.
+/// Watches the records of both kinds by one call each: a full read first, then held calls for changes. Passes all records that it
+/// reads to RecordWatcherCallbacks::recordsRead, also those that this host has already; the receiver skips them by their version.
 template<Platform::Feed F>
 class RecordWatcher
 {
@@ -89,59 +100,62 @@
         , m_random(seed)
         , m_callbacks(std::move(callbacks))
     {
-        m_tables[0].kind = Configuration::RecordKind::Configuration;
-        m_tables[0].pause = m_options.configurationPause;
-        m_tables[1].kind = Configuration::RecordKind::Endpoint;
-        m_tables[1].pause = m_options.endpointPause;
+        m_states[0].kind = Configuration::RecordKind::Configuration;
+        m_states[0].pause = m_options.configurationPause;
+        m_states[1].kind = Configuration::RecordKind::Endpoint;
+        m_states[1].pause = m_options.endpointPause;
     }
 
-    /// @p active: whether new calls are to be made. One that is under way is waited for in any case.
+    /// @p active: whether to make new calls. The result of a call in progress is handled in any case.
     void tick(Base::Instant now, bool active = true)
     {
         reportDueRemovals(now);
-        for (TableState &table : m_tables) {
-            table.reactivated = table.reactivated || !active;
-            if (active && !table.calling && now >= table.nextCallAt) {
-                call(table);
+        for (KindState &state : m_states) {
+            state.reactivated = state.reactivated || !active;
+            if (active && !state.calling && now >= state.nextCallAt) {
+                call(state);
             }
         }
     }
 
-    /// Whether calls are held for times that differ. Those of several hosts, which a change ends all at once, would else go on to
-    /// end together: for the length of a whole hold none would tell that the platform has ceased to answer.
+    /// Sets whether hold times are randomised. A change ends the held calls of all hosts at once, so with equal hold times they
+    /// would also end together from then on, and for a whole hold time no host would notice that the store has ceased to
+    /// respond.
     void staggerCalls(bool stagger)
     {
         m_stagger = stagger;
     }
 
-    /// Whether the platform answers as it should, as far as can be told by now.
-    bool isResponding(Base::Instant now) const
+    /// Returns whether, for each kind of record, the last call succeeded and the call in progress is not overdue. Unlike
+    /// responds(), this includes calls that have not ended.
+    bool hasNoFailedOrOverdueCall(Base::Instant now) const
     {
         return std::ranges::none_of(
-            m_tables, [now](const TableState &table) { return table.failures > 0 || (table.calling && now >= table.overdueAt); });
+            m_states, [now](const KindState &state) { return state.failures > 0 || (state.calling && now >= state.overdueAt); });
     }
 
-    /// Whether the platform has answered since @p instant; nothing if that cannot be told yet.
+    /// Returns whether the store has responded since @p instant without a failure, or nothing if that is not known yet.
     std::optional<bool> respondedSince(Base::Instant now, Base::Instant instant) const
     {
-        if (!isResponding(now) || (m_lastFailure != Base::Instant {} && m_lastFailure >= instant)) {
+        if (!hasNoFailedOrOverdueCall(now) || (m_lastFailure != Base::Instant {} && m_lastFailure >= instant)) {
             return false;
         }
         return m_lastResponse != Base::Instant {} && m_lastResponse >= instant ? std::optional(true) : std::nullopt;
     }
 
-    /// When a call last failed; the start if none did.
+    /// Returns when a call last failed, or the zero time point if none has.
     Base::Instant lastFailure() const
     {
         return m_lastFailure;
     }
 
+    /// Returns whether the last call that ended got a response.
     bool responds() const
     {
         return m_responds;
     }
 
-    /// When the platform last answered; the start if it never did.
+    /// Returns when the store last responded, or the zero time point if it never has.
     Base::Instant lastResponse() const
     {
         return m_lastResponse;
@@ -150,168 +164,178 @@
 private:
     using Record = Configuration::Record;
 
-    struct TableState
+    /// State of the calls for one kind of record.
+    struct KindState
     {
         Configuration::RecordKind kind {};
         Base::Duration pause {};
-        bool needsFullRead = true; ///< the next call reads the whole table
-        std::uint64_t since = 0;
+        bool needsFullRead = true; ///< the next call reads all records
+        std::uint64_t since = 0; ///< version up to which the records are known
         bool calling = false;
         Base::Instant calledAt {};
-        Base::Instant overdueAt {}; ///< of the call under way
-        bool reactivated = true; ///< no call has been answered since the watch was last inactive
-        unsigned int failures = 0;
-        bool retriedImmediately = false; ///< since the last answer
+        Base::Instant overdueAt {}; ///< when the call in progress counts as overdue
+        bool reactivated = true; ///< no call has succeeded since the start or since the watcher was last inactive
+        unsigned int failures = 0; ///< consecutive failed calls
+        bool retriedImmediately = false; ///< a failed call was retried without delay since the last response
         Base::Instant nextCallAt {};
-        std::map<std::string, std::uint64_t> known; ///< versions of the records that are there
+        std::map<std::string, std::uint64_t> knownVersions; ///< versions of the present records, by key
     };
 
+    /// The removal of an endpoint whose report is deferred.
     struct Removal
     {
         Record record;
         Base::Instant due {};
     };
 
-    void call(TableState &table)
+    /// Starts a full read or a held call.
+    void call(KindState &state)
     {
-        table.calling = true;
-        table.calledAt = m_options.clock();
-        const bool fullRead = table.needsFullRead;
-        auto handler = [this, &table, fullRead](absl::StatusOr<Platform::FeedPage> page) {
-            handleResult(table, fullRead, std::move(page));
+        state.calling = true;
+        state.calledAt = m_options.clock();
+        const bool fullRead = state.needsFullRead;
+        auto handler = [this, &state, fullRead](absl::StatusOr<Platform::FeedPage> page) {
+            handleResult(state, fullRead, std::move(page));
         };
         if (fullRead) {
-            table.overdueAt = table.calledAt + fullReadTimeout;
-            m_feed.read(table.kind, std::move(handler));
+            state.overdueAt = state.calledAt + fullReadTimeout;
+            m_feed.read(state.kind, std::move(handler));
         } else {
-            const Base::Duration holdTime = nextHoldTime(table);
-            table.overdueAt = table.calledAt + holdTime + heldCallMargin;
-            m_feed.follow(table.kind, table.since, holdTime, std::move(handler));
+            const Base::Duration holdTime = nextHoldTime(state);
+            state.overdueAt = state.calledAt + holdTime + heldCallMargin;
+            m_feed.follow(state.kind, state.since, holdTime, std::move(handler));
         }
     }
 
-    Base::Duration nextHoldTime(const TableState &table)
+    /// Returns the time for which the next call asks to be held.
+    Base::Duration nextHoldTime(const KindState &state)
     {
-        if (table.failures > 0) {
+        if (state.failures > 0) {
             return m_options.holdTimeAfterFailure;
         }
-        if (table.reactivated) {
-            // What changed while this host did not follow, and whether the platform answers it, is to be known at once.
+        if (state.reactivated) {
+            // This host must learn at once what changed while it did not follow, and whether the store responds to it.
             return Base::Duration::zero();
         }
         if (!m_stagger) {
             return m_options.holdTime;
         }
-        // Most are held almost as long as they may be, since calls cost; a few of all hosts' end soon, and that is enough.
+        // Most hold times are close to the maximum, which keeps the number of calls low. Among all hosts, some calls still end
+        // early and show whether the store responds.
         const double fraction = std::pow(std::uniform_real_distribution(0.0, 1.0)(m_random), 3);
         return std::chrono::duration_cast<Base::Duration>(m_options.holdTime
                                                           * (1.0 - (1.0 - m_options.minHoldFraction) * fraction));
     }
 
-    void handleResult(TableState &table, bool fullRead, absl::StatusOr<Platform::FeedPage> page)
+    void handleResult(KindState &state, bool fullRead, absl::StatusOr<Platform::FeedPage> page)
     {
         const Base::Instant now = m_options.clock();
-        table.calling = false;
+        state.calling = false;
         if (!page.ok() && Base::errorKind(page.status()) == Base::ErrorKind::HistoryCompacted) {
-            table.needsFullRead = true;
-            table.nextCallAt = now;
+            state.needsFullRead = true;
+            state.nextCallAt = now;
             return;
         }
         if (!page.ok()) {
-            callFailed(table, now, page.status());
+            callFailed(state, now, page.status());
             return;
         }
-        table.failures = 0;
-        table.reactivated = false;
-        table.retriedImmediately = false;
-        table.nextCallAt = now + table.pause;
-        table.since = page->version;
-        table.needsFullRead = false;
-        noteResponse(table, now);
+        state.failures = 0;
+        state.reactivated = false;
+        state.retriedImmediately = false;
+        state.nextCallAt = now + state.pause;
+        state.since = page->version;
+        state.needsFullRead = false;
+        callSucceeded(state, now);
         if (fullRead) {
-            addMissingRemovals(table, *page);
+            addRemovals(state, *page);
         }
-        applyRecords(table, now, std::move(page->records));
+        applyRecords(state, now, std::move(page->records));
     }
 
-    void callFailed(TableState &table, Base::Instant now, const absl::Status &error)
+    /// Schedules the retry of a failed call.
+    void callFailed(KindState &state, Base::Instant now, const absl::Status &error)
     {
         const Base::Duration delay
-            = std::min(m_options.maxRetryDelay, m_options.initialRetryDelay * (1U << std::min(table.failures, 8U)));
-        ++table.failures;
+            = std::min(m_options.maxRetryDelay, m_options.initialRetryDelay * (1U << std::min(state.failures, 8U)));
+        ++state.failures;
         const auto jitter = static_cast<std::int64_t>(m_random() % static_cast<std::uint64_t>(delay.count() / 2 + 1));
-        table.nextCallAt = now + delay / 2 + Base::Duration(jitter);
-        // The platform swallowed this call and has come back since, as the other call shows: up to a second is spared. Once only,
-        // since it may refuse the calls of one kind alone.
-        if (m_lastResponse >= table.calledAt && !table.retriedImmediately) {
-            table.retriedImmediately = true;
-            table.nextCallAt = now;
+        state.nextCallAt = now + delay / 2 + Base::Duration(jitter);
+        // The other call has had a response since this one began, so the store lost this call but works again. A retry without
+        // delay saves up to a second. It is done only once, since the store may reject only the calls of one kind.
+        if (m_lastResponse >= state.calledAt && !state.retriedImmediately) {
+            state.retriedImmediately = true;
+            state.nextCallAt = now;
         }
         m_lastFailure = now;
         if (std::exchange(m_responds, false) || !m_stateReported) {
             m_stateReported = true;
-            m_callbacks.storeStateChanged({false, table.kind, now - table.calledAt, error});
+            m_callbacks.storeStateChanged({false, state.kind, now - state.calledAt, error});
         }
     }
 
-    void noteResponse(const TableState &respondingTable, Base::Instant now)
+    /// Updates the state of all calls after a response.
+    void callSucceeded(const KindState &respondingState, Base::Instant now)
     {
         m_lastResponse = now;
-        for (TableState &table : m_tables) {
-            // It answers again: what failed before need not wait for its next try.
-            table.nextCallAt = table.failures > 0 ? now : table.nextCallAt;
+        for (KindState &state : m_states) {
+            // The store responds again, so calls that failed before are retried at once.
+            state.nextCallAt = state.failures > 0 ? now : state.nextCallAt;
         }
         if (!std::exchange(m_responds, true)) {
             m_stateReported = true;
-            m_callbacks.storeStateChanged({true, respondingTable.kind, now - respondingTable.calledAt, absl::OkStatus()});
+            m_callbacks.storeStateChanged({true, respondingState.kind, now - respondingState.calledAt, absl::OkStatus()});
         }
     }
 
-    /// What a whole read does not list is gone, as of that read; also what only other hosts have told, since the version of the
-    /// read is passed on as one up to which nothing is lacking.
-    void addMissingRemovals(const TableState &table, Platform::FeedPage &page) const
+    /// Adds removals of the known records that a full read does not list, with the version of the read. Endpoints that this host
+    /// knows only from other hosts are included: after the read, this copy is advertised as complete up to the version of the
+    /// read, so no host would learn of their removal otherwise.
+    void addRemovals(const KindState &state, Platform::FeedPage &page) const
     {
-        std::map<std::string, std::uint64_t> present = table.known;
-        if (table.kind == Configuration::RecordKind::Endpoint) {
+        std::map<std::string, std::uint64_t> previous = state.knownVersions;
+        if (state.kind == Configuration::RecordKind::Endpoint) {
             for (const Record &record : m_callbacks.knownEndpoints()) {
                 if (record.version <= page.version) {
-                    present.try_emplace(record.key, record.version);
+                    previous.try_emplace(record.key, record.version);
                 }
             }
         }
         std::vector<Record> missing;
-        for (const auto &[key, version] : present) {
+        for (const auto &[key, version] : previous) {
             if (std::ranges::find(page.records, key, &Record::key) == page.records.end()) {
-                missing.push_back({table.kind, key, std::max(version + 1, page.version), true, {}});
+                missing.push_back({state.kind, key, std::max(version + 1, page.version), true, {}});
             }
         }
         std::ranges::move(missing, std::back_inserter(page.records));
     }
 
-    void applyRecords(TableState &table, Base::Instant now, std::vector<Record> records)
+    /// Passes the records of a response on, except removals of endpoints shortly after a failed call, which are deferred.
+    void applyRecords(KindState &state, Base::Instant now, std::vector<Record> records)
     {
         std::vector<Record> reported;
         for (Record &record : records) {
             if (record.removed) {
-                table.known.erase(record.key);
+                state.knownVersions.erase(record.key);
             } else {
-                table.known[record.key] = record.version;
+                state.knownVersions[record.key] = record.version;
                 m_removals.erase(record.key);
             }
-            const bool afterOutage = m_lastFailure != Base::Instant {} && now - m_lastFailure < m_options.removalGrace;
+            const bool afterOutage = m_lastFailure != Base::Instant {} && now - m_lastFailure < m_options.removalDelay;
             if (record.removed && record.kind == Configuration::RecordKind::Endpoint && afterOutage) {
                 m_callbacks.removalDeferred(record);
                 const std::string key = record.key;
-                m_removals[key] = {std::move(record), m_lastFailure + m_options.removalGrace};
+                m_removals[key] = {std::move(record), m_lastFailure + m_options.removalDelay};
             } else {
                 reported.push_back(std::move(record));
             }
         }
         if (!reported.empty()) {
-            m_callbacks.records(std::move(reported));
+            m_callbacks.recordsRead(std::move(reported));
         }
     }
 
+    /// Passes on the deferred removals whose delay is over.
     void reportDueRemovals(Base::Instant now)
     {
         std::vector<Record> due;
@@ -324,7 +348,7 @@
             m_removals.erase(record.key);
         }
         if (!due.empty()) {
-            m_callbacks.records(std::move(due));
+            m_callbacks.recordsRead(std::move(due));
         }
     }
 
@@ -332,13 +356,13 @@
     RecordWatcherOptions m_options;
     std::mt19937_64 m_random;
     RecordWatcherCallbacks m_callbacks;
-    std::array<TableState, 2> m_tables;
-    std::map<std::string, Removal> m_removals; ///< not yet believed
+    std::array<KindState, 2> m_states;
+    std::map<std::string, Removal> m_removals; ///< deferred removals, by key
     Base::Instant m_lastResponse {};
     Base::Instant m_lastFailure {};
     bool m_responds = false;
     bool m_stagger = false;
-    bool m_stateReported = false;
+    bool m_stateReported = false; ///< storeStateChanged has been called at least once
 };
 
 } // namespace Yokepond::Node
--- a/Source/Node/usageduty.h
+++ b/Source/Node/usageduty.h
@@ -2,8 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// A host's part in reporting usage: it counts what its endpoints began, tells the hosts that may report, and reports if the duty
-/// is its own.
+/// A host's part in reporting usage: it counts the requests that endpoints started for it, sends the counts to the hosts that may
+/// report, and reports if it holds the duty.
 
 #pragma once
 
@@ -24,7 +24,7 @@
 
 namespace Yokepond::Node {
 
-/// What reporting needs of the platform; answers come later, on the loop's thread.
+/// The calls of the platform that reporting needs. Their handlers are called later, on the event loop's thread.
 template<typename P>
 concept DutyPlatform
     = requires(P platform, const std::string &text, const Usage::ReportUsage &report,
@@ -41,19 +41,22 @@
     std::string host;
     std::uint64_t incarnation = 0;
     Usage::ReporterOptions reporter;
-    std::function<Base::Instant()> clock = Base::now; ///< when answers come
+    std::function<Base::Instant()> clock = Base::now; ///< current time, read when calls end
 };
 
-/// What an operator sees of the duty at one host.
+/// State of the duty at one host, for operators.
 struct UsageView
 {
     Usage::ReporterView reporter;
-    std::optional<std::size_t> rank;
-    std::size_t reportingHosts = 0; ///< that told this host their counts lately
-    std::uint64_t reports = 0; ///< accepted
-    std::uint64_t failures = 0;
+    std::optional<std::size_t> rank; ///< number of hosts that precede this one for the duty
+    std::size_t reportingHosts = 0; ///< hosts whose counts this host received recently
+    std::uint64_t reports = 0; ///< accepted reports
+    std::uint64_t failures = 0; ///< reports that failed
 };
 
+/// Counts usage at one host and takes part in the duty of reporting it. One host of the fleet at a time, the holder, has the
+/// lease of the duty. It fixes the counts of each window of time, that is, stores them so that they no longer change, and reports
+/// them. @p P: the platform's calls.
 template<DutyPlatform P>
 class UsageDuty
 {
@@ -70,13 +73,13 @@
     {
     }
 
-    /// An endpoint began a request of @p organisation.
+    /// Counts a request of @p organisation that an endpoint started at @p at.
     void countStartedRequest(Base::Instant at, const std::string &organisation)
     {
         m_ownCounts.add(Usage::windowOf(m_clock.at(at), m_options.reporter.window), organisation);
     }
 
-    /// The hosts that are present, this one among them; call when they change.
+    /// Sets the present hosts, which include this one. Must be called when they change.
     void setMembers(const std::vector<Peer::Member> &members)
     {
         m_rank = Membership::rankOf(m_options.host, dutyName, members);
@@ -90,14 +93,15 @@
             m_nextSend = now + sendPeriod;
             sendCounts(now);
         }
-        // Until the other hosts' counts and clocks have come, what would be fixed is not the fleet's.
-        const bool settled = now - m_started >= startupDelay;
-        const std::optional<std::size_t> rank = settled && m_rank && *m_rank < maxCandidates ? m_rank : std::nullopt;
+        // Before the counts and clocks of the other hosts have arrived, a window would be fixed with incomplete counts.
+        const bool startupOver = now - m_started >= startupDelay;
+        const std::optional<std::size_t> rank = startupOver && m_rank && *m_rank < maxCandidates ? m_rank : std::nullopt;
         for (Usage::ReporterAction &action : m_reporter.tick(now, m_clock.at(now), rank, m_fleetCounts)) {
             std::visit([this](auto &entry) { this->execute(entry); }, action);
         }
     }
 
+    /// Adds the counts of host @p from, and replies with the fleet's time and the newest fixed window.
     void receive(Base::Instant now, const std::string &from, std::uint64_t incarnation, const Peer::UsageCounts &counts)
     {
         const Base::Duration offset(counts.clock - m_clock.at(now));
@@ -106,6 +110,7 @@
         m_send(from, Peer::UsageReceived {fleetTime, m_reporter.fixedUpTo(), m_reporter.isHolder()});
     }
 
+    /// Corrects the clock by the fleet's time, and notes which host holds the duty.
     void receive(Base::Instant now, const std::string &from, const Peer::UsageReceived &received)
     {
         if (const Base::Duration by = m_clock.correct(now, received.clock); by != Base::Duration::zero()) {
@@ -120,7 +125,7 @@
         }
     }
 
-    /// No request began lately, as far as this host was told.
+    /// Returns whether no request was started in this window and the previous one, as far as the received counts show.
     bool isIdle(Base::Instant now) const
     {
         const Usage::WindowNumber currentWindow = Usage::windowOf(m_clock.at(now), m_options.reporter.window);
@@ -134,14 +139,17 @@
 
 private:
     static constexpr std::string_view dutyName = "usage";
-    /// What a host that is killed had not told yet is lost: a second of its counts, of a window of five.
+    /// Period at which counts are sent. A host that is killed loses the counts that it has not sent: at most one second of a
+    /// window of five.
     static constexpr Base::Duration sendPeriod = std::chrono::seconds(1);
+    /// Delay after the start, by which the counts and clocks of the other hosts are known.
     static constexpr Base::Duration startupDelay = std::chrono::seconds(3);
-    /// Hosts that get all counts beside the holder, so that one that takes over has them.
+    /// Number of hosts that get all counts beside the holder, so that a host that takes over the duty has them.
     static constexpr std::size_t collectorCount = 2;
-    /// Hosts that may take over, by rank.
+    /// Number of hosts, by rank, that may take over the duty.
     static constexpr std::size_t maxCandidates = 3;
 
+    /// Sends the counts of this host to the collectors and the holder.
     void sendCounts(Base::Instant now)
     {
         const Usage::WindowNumber currentWindow = Usage::windowOf(m_clock.at(now), m_options.reporter.window);
@@ -152,7 +160,7 @@
             to.push_back(m_holder);
         }
         const Peer::UsageCounts counts {m_clock.at(now), m_ownCounts.entries(m_reporter.fixedUpTo())};
-        // What this host counted itself it always knows, also if it takes over.
+        // This host adds its own counts directly, so that it has them if it takes over the duty.
         m_fleetCounts.update(now, m_options.host, m_options.incarnation, Base::Duration::zero(), counts.entries);
         for (const std::string &member : to) {
             if (member != m_options.host) {
@@ -203,9 +211,9 @@
     Base::Instant m_started;
     Base::Instant m_nextSend {};
     std::optional<std::size_t> m_rank;
-    std::vector<std::string> m_collectors;
+    std::vector<std::string> m_collectors; ///< hosts that get all counts beside the holder
     bool m_holderPresent = false;
-    std::string m_holder; ///< another host that said that it reports
+    std::string m_holder; ///< the other host that last announced that it holds the duty
     std::uint64_t m_reports = 0;
     std::uint64_t m_failures = 0;
 };
