--- a/Source/Membership/duty.cpp
+++ b/Source/Membership/duty.cpp
@@ -17,7 +17,7 @@
 
 Weight weightOf(const Peer::Member &member, std::uint64_t seed)
 {
-    // The store's answers are large at times; hosts with much processor are those with wide links too.
+    // Responses of the store can be large, and hosts with more processor capacity also have faster links.
     return {member.state != Peer::MemberState::Leaving, member.milliCores, Base::hash64(member.name, seed)};
 }
 
@@ -44,13 +44,13 @@
 std::vector<std::string> selectMembers(std::string_view duty, const std::vector<Peer::Member> &members, std::size_t count)
 {
     const std::uint64_t seed = Base::hash64(duty);
-    std::vector<std::pair<Weight, const Peer::Member *>> weighed;
-    std::ranges::transform(members, std::back_inserter(weighed),
+    std::vector<std::pair<Weight, const Peer::Member *>> weighted;
+    std::ranges::transform(members, std::back_inserter(weighted),
                            [&](const Peer::Member &member) { return std::pair(weightOf(member, seed), &member); });
-    const auto end = weighed.begin() + static_cast<std::ptrdiff_t>(std::min(count, weighed.size()));
-    std::partial_sort(weighed.begin(), end, weighed.end(), std::greater<>());
+    const auto end = weighted.begin() + static_cast<std::ptrdiff_t>(std::min(count, weighted.size()));
+    std::partial_sort(weighted.begin(), end, weighted.end(), std::greater<>());
     std::vector<std::string> names;
-    std::transform(weighed.begin(), end, std::back_inserter(names), [](const auto &entry) { return entry.second->name; });
+    std::transform(weighted.begin(), end, std::back_inserter(names), [](const auto &entry) { return entry.second->name; });
     return names;
 }
 
--- a/Source/Membership/duty.h
+++ b/Source/Membership/duty.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Duties that a few members do for all.
+/// Selects the members that perform a duty. A duty is a task that a few hosts perform for the whole fleet.
 
 #pragma once
 
@@ -16,14 +16,15 @@
 
 namespace Yokepond::Membership {
 
-/// How many members rendezvous hashing puts before @p self for @p duty; nothing if @p self is no member. Every member finds the
-/// same order from the same membership; one that goes is replaced by one other. Leaving members come last.
+/// Returns how many members rank before @p self for @p duty; nothing if @p self is not a member. Members rank by processor
+/// capacity, and at equal capacity by rendezvous hashing; leaving members rank last. All hosts with the same membership compute
+/// the same order. When one of the first members is removed, exactly one other moves up in its place.
 std::optional<std::size_t> rankOf(std::string_view self, std::string_view duty, const std::vector<Peer::Member> &members);
 
-/// Whether @p self is one of the first @p count in that order.
+/// Returns whether @p self is one of the first @p count members in that order.
 bool isSelected(std::string_view self, std::string_view duty, const std::vector<Peer::Member> &members, std::size_t count);
 
-/// Names of the first @p count in that order.
+/// Returns the names of the first @p count members in that order.
 std::vector<std::string> selectMembers(std::string_view duty, const std::vector<Peer::Member> &members, std::size_t count);
 
 } // namespace Yokepond::Membership
--- a/Source/Membership/swim.cpp
+++ b/Source/Membership/swim.cpp
@@ -20,21 +20,24 @@
 using Peer::MemberState;
 using Peer::Probe;
 
-constexpr std::size_t newsPerMessage = 6;
-constexpr std::size_t announcedDirectly = 16;
-constexpr double repeatsPerDoubling = 3.0;
-constexpr Base::Duration seedPeriod = std::chrono::seconds(1);
+constexpr std::size_t maxUpdatesPerMessage = 6;
+/// Number of members that a leaving host informs directly; the others receive it by gossip.
+constexpr std::size_t leaveAnnouncements = 16;
+/// Number of times that an update is sent for each doubling of the number of members.
+constexpr double transmissionsPerDoubling = 3.0;
+constexpr Base::Duration seedProbePeriod = std::chrono::seconds(1);
 
-/// Whether @p news says more than @p known of the same member. States override each other in the order of the enumeration.
-bool overrides(const Member &news, const Member &known)
+/// Returns whether @p update is newer than @p known, the stored state of the same member. At equal incarnation and version, a
+/// state that comes later in the enumeration overrides an earlier one.
+bool overrides(const Member &update, const Member &known)
 {
-    if (news.incarnation != known.incarnation) {
-        return news.incarnation > known.incarnation;
+    if (update.incarnation != known.incarnation) {
+        return update.incarnation > known.incarnation;
     }
-    if (news.version != known.version) {
-        return news.version > known.version;
+    if (update.version != known.version) {
+        return update.version > known.version;
     }
-    return news.state > known.state;
+    return update.state > known.state;
 }
 
 bool isPresent(const Member &member)
@@ -50,7 +53,7 @@
     , m_random(seed)
 {
     m_members.emplace(m_self.name, m_self);
-    spread(m_self.name);
+    enqueueGossip(m_self.name);
 }
 
 void Swim::addSeed(const std::string &address)
@@ -90,8 +93,8 @@
         m_nextProbe = now + m_options.period;
         startProbe(now);
     }
-    if (now >= m_nextSeed) {
-        m_nextSeed = now + seedPeriod;
+    if (now >= m_nextSeedProbe) {
+        m_nextSeedProbe = now + seedProbePeriod;
         for (const std::string &address : m_seeds) {
             m_outgoing.push_back({address, Probe {++m_sequence, {m_self}, m_revision, digest(), {}}});
         }
@@ -99,8 +102,9 @@
     }
 }
 
-/// After a partition each side believes the other dead and would never ask it again: two fleets for good, with two dispatchers of
-/// each shard. A member that lives learns by this that it is thought dead, and refutes it.
+/// Probes one random dead member. After a partition each side considers the other side dead. Without these probes the sides would
+/// never contact each other again and would remain two fleets, with two dispatchers for each shard. The probe carries the
+/// member's state, so that a member that is alive learns that it is considered dead and refutes it.
 void Swim::probeDead()
 {
     std::vector<const Member *> dead;
@@ -122,23 +126,23 @@
         return;
     }
     m_pending.push_back({++m_sequence, target, now, false});
-    send(target, Probe {m_sequence, pickNews(target), m_revision, digest(), {}});
+    send(target, Probe {m_sequence, selectUpdates(target), m_revision, digest(), {}});
 }
 
 std::string Swim::nextTarget()
 {
-    // Each member is probed once a round, in an order that differs from round to round.
+    // Each member is probed once per round, in a new random order for each round.
     for (int refills = 0; refills < 2; ++refills) {
-        while (!m_round.empty()) {
-            std::string name = std::move(m_round.back());
-            m_round.pop_back();
+        while (!m_probeRound.empty()) {
+            std::string name = std::move(m_probeRound.back());
+            m_probeRound.pop_back();
             const auto member = m_members.find(name);
             if (member != m_members.end() && isPresent(member->second) && name != m_self.name) {
                 return name;
             }
         }
-        std::ranges::copy(m_members | std::views::keys, std::back_inserter(m_round));
-        std::ranges::shuffle(m_round, m_random);
+        std::ranges::copy(m_members | std::views::keys, std::back_inserter(m_probeRound));
+        std::ranges::shuffle(m_probeRound, m_random);
     }
     return {};
 }
@@ -150,7 +154,7 @@
         if (!pending.indirect && now - pending.sentAt >= m_options.probeTimeout) {
             pending.indirect = true;
             for (const std::string &helper : randomOthers(m_options.indirectProbes, pending.target)) {
-                send(helper, Probe {pending.sequence, pickNews(helper), m_revision, digest(), pending.target});
+                send(helper, Probe {pending.sequence, selectUpdates(helper), m_revision, digest(), pending.target});
             }
         }
         if (now - pending.sentAt >= m_options.period) {
@@ -168,15 +172,15 @@
     if (member == m_members.end()) {
         return;
     }
-    Member news = member->second;
-    if (news.state == MemberState::Alive) {
-        news.state = MemberState::Suspect;
-        m_foundSilent.push_back(name);
-        merge(now, news);
-    } else if (news.state == MemberState::Leaving) {
-        // A leaving host that no longer answers has gone as announced.
-        news.state = MemberState::Dead;
-        merge(now, news);
+    Member update = member->second;
+    if (update.state == MemberState::Alive) {
+        update.state = MemberState::Suspect;
+        m_newSuspects.push_back(name);
+        merge(now, update);
+    } else if (update.state == MemberState::Leaving) {
+        // A leaving host that stops responding has shut down as announced.
+        update.state = MemberState::Dead;
+        merge(now, update);
     }
 }
 
@@ -215,44 +219,45 @@
 
 void Swim::mergeAll(Base::Instant now, const std::vector<Member> &members)
 {
-    const std::deque<News> before = m_news;
+    const std::deque<GossipEntry> before = m_gossip;
     std::ranges::for_each(members, [&](const Member &member) { merge(now, member); });
-    if (members.size() > newsPerMessage) {
-        // A whole table: the others have it too, so that only what this host had to say itself is spread.
-        std::erase_if(m_news, [&](const News &news) {
-            return news.member != m_self.name && std::ranges::find(before, news.member, &News::member) == before.end();
+    if (members.size() > maxUpdatesPerMessage) {
+        // This was a full member table, which the other members get too. Disseminate only this host's own state and the updates
+        // that were queued before.
+        std::erase_if(m_gossip, [&](const GossipEntry &queued) {
+            return queued.member != m_self.name && std::ranges::find(before, queued.member, &GossipEntry::member) == before.end();
         });
     }
 }
 
-void Swim::merge(Base::Instant now, const Member &news)
+void Swim::merge(Base::Instant now, const Member &update)
 {
-    if (news.name == m_self.name) {
-        refute(news);
+    if (update.name == m_self.name) {
+        refute(update);
         return;
     }
-    const auto known = m_members.find(news.name);
+    const auto known = m_members.find(update.name);
     if (known == m_members.end()) {
-        // Nothing is to be done about a dead host that was never known.
-        if (isPresent(news)) {
-            store(now, news);
+        // A dead host that has never been a member is ignored.
+        if (isPresent(update)) {
+            store(now, update);
         }
         return;
     }
-    if (overrides(news, known->second)) {
-        store(now, news);
+    if (overrides(update, known->second)) {
+        store(now, update);
     }
 }
 
-void Swim::refute(const Member &news)
+void Swim::refute(const Member &update)
 {
-    if (news.incarnation > m_self.incarnation
-        || (news.incarnation == m_self.incarnation && news.state > m_self.state && news.version >= m_self.version)) {
-        m_self.version = std::max(m_self.version, news.version) + 1;
-        // A host that started later under this name has a higher incarnation; two at once is an operator's error, seen in the
-        // dump.
+    if (update.incarnation > m_self.incarnation
+        || (update.incarnation == m_self.incarnation && update.state > m_self.state && update.version >= m_self.version)) {
+        m_self.version = std::max(m_self.version, update.version) + 1;
+        // A host that started later under the same name has a higher incarnation. Two hosts that run under one name at the same
+        // time are an operator's error, which the dump shows.
         m_members[m_self.name] = m_self;
-        spread(m_self.name);
+        enqueueGossip(m_self.name);
     }
 }
 
@@ -266,52 +271,53 @@
     }
     m_lastChange = now;
     std::erase(m_seeds, member.address);
-    spread(member.name);
+    enqueueGossip(member.name);
     ++m_generation;
 }
 
-void Swim::spread(const std::string &member)
+void Swim::enqueueGossip(const std::string &member)
 {
-    std::erase_if(m_news, [&](const News &news) { return news.member == member; });
-    m_news.push_front({member, 0});
+    std::erase_if(m_gossip, [&](const GossipEntry &queued) { return queued.member == member; });
+    m_gossip.push_front({member, 0});
 }
 
-std::vector<Member> Swim::pickNews(const std::string &receiver)
+std::vector<Member> Swim::selectUpdates(const std::string &receiver)
 {
-    if (m_wholeDue.erase(receiver) > 0) {
-        return wholeTable();
+    if (m_fullTableDue.erase(receiver) > 0) {
+        return fullTable();
     }
-    std::vector<Member> picked;
+    std::vector<Member> selected;
     const auto add = [&](const Member &member) {
-        const bool there = std::ranges::any_of(picked, [&](const Member &other) { return other.name == member.name; });
-        if (!there && picked.size() < newsPerMessage) {
-            picked.push_back(member);
+        const bool alreadySelected
+            = std::ranges::any_of(selected, [&](const Member &other) { return other.name == member.name; });
+        if (!alreadySelected && selected.size() < maxUpdatesPerMessage) {
+            selected.push_back(member);
         }
     };
-    // A host that is thought to be gone must learn of it to refute it.
+    // A host that is not considered alive must receive its own state so that it can refute it.
     const auto known = m_members.find(receiver);
     if (known != m_members.end() && known->second.state != MemberState::Alive) {
         add(known->second);
     }
-    const auto mostRepeats
-        = static_cast<unsigned int>(std::ceil(repeatsPerDoubling * std::log2(static_cast<double>(m_members.size()) + 1)));
-    for (News &news : m_news) {
-        const auto member = m_members.find(news.member);
-        if (picked.size() >= newsPerMessage) {
+    const auto maxTransmissions
+        = static_cast<unsigned int>(std::ceil(transmissionsPerDoubling * std::log2(static_cast<double>(m_members.size()) + 1)));
+    for (GossipEntry &queued : m_gossip) {
+        const auto member = m_members.find(queued.member);
+        if (selected.size() >= maxUpdatesPerMessage) {
             break;
         }
-        ++news.sent;
+        ++queued.sent;
         if (member != m_members.end()) {
             add(member->second);
         }
     }
-    std::erase_if(m_news, [&](const News &news) { return news.sent >= mostRepeats; });
-    // What was told least often goes first next time.
-    std::ranges::stable_sort(m_news, {}, &News::sent);
-    return picked;
+    std::erase_if(m_gossip, [&](const GossipEntry &queued) { return queued.sent >= maxTransmissions; });
+    // The next message starts with the updates that were sent least often.
+    std::ranges::stable_sort(m_gossip, {}, &GossipEntry::sent);
+    return selected;
 }
 
-std::vector<Member> Swim::wholeTable() const
+std::vector<Member> Swim::fullTable() const
 {
     std::vector<Member> table;
     std::ranges::copy(m_members | std::views::values, std::back_inserter(table));
@@ -331,50 +337,52 @@
     return chosen;
 }
 
-void Swim::learnSender(Base::Instant now, const std::string &from, std::uint64_t theirDigest)
+void Swim::recordContact(Base::Instant now, const std::string &from, std::uint64_t theirDigest)
 {
     m_lastContact = std::max(m_lastContact, now);
     if (theirDigest == digest()) {
         return;
     }
-    // Tables differ. While news is on its way that is no wonder; after it should have arrived, the whole table settles it.
-    const bool settled = m_news.empty() && now - m_lastChange >= suspicionTime();
-    if (settled && now - m_lastWhole >= m_options.fullSyncInterval) {
-        m_lastWhole = now;
-        m_wholeDue.insert(from);
+    // The member tables differ, which is expected while updates are being disseminated. If they still differ after that, a full
+    // table reconciles them.
+    const bool settled = m_gossip.empty() && now - m_lastChange >= suspicionTime();
+    if (settled && now - m_lastFullTable >= m_options.fullSyncInterval) {
+        m_lastFullTable = now;
+        m_fullTableDue.insert(from);
     }
 }
 
 void Swim::receive(Base::Instant now, const std::string &from, const Probe &probe)
 {
     const auto sender = m_members.find(from);
-    const auto isNewer = [&](const Member &news) { return news.name == from && news.incarnation > sender->second.incarnation; };
+    const auto isNewer
+        = [&](const Member &update) { return update.name == from && update.incarnation > sender->second.incarnation; };
     if (sender == m_members.end() || !isPresent(sender->second) || std::ranges::any_of(probe.members, isNewer)) {
-        // A host that joins, was thought dead or has started anew learns the whole table at once: without the others' addresses
-        // it can neither ask nor answer them.
-        m_wholeDue.insert(from);
+        // A host that joins, was considered dead or has restarted gets the full member table at once: without the addresses of
+        // the other members it can neither send them requests nor reply to theirs.
+        m_fullTableDue.insert(from);
     }
     mergeAll(now, probe.members);
-    learnSender(now, from, probe.digest);
+    recordContact(now, from, probe.digest);
     if (probe.target.empty()) {
-        send(from, Acknowledgement {probe.sequence, pickNews(from), m_revision, digest(), {}});
+        send(from, Acknowledgement {probe.sequence, selectUpdates(from), m_revision, digest(), {}});
         return;
     }
     m_relayed[++m_sequence] = {from, probe.sequence, probe.target, now};
-    send(probe.target, Probe {m_sequence, pickNews(probe.target), m_revision, digest(), {}});
+    send(probe.target, Probe {m_sequence, selectUpdates(probe.target), m_revision, digest(), {}});
 }
 
 void Swim::receive(Base::Instant now, const std::string &from, const Acknowledgement &acknowledgement)
 {
     mergeAll(now, acknowledgement.members);
-    learnSender(now, from, acknowledgement.digest);
-    const std::string &answered = acknowledgement.target.empty() ? from : acknowledgement.target;
+    recordContact(now, from, acknowledgement.digest);
+    const std::string &acknowledging = acknowledgement.target.empty() ? from : acknowledgement.target;
     std::erase_if(m_pending, [&](const Pending &pending) {
-        return pending.sequence == acknowledgement.sequence && pending.target == answered;
+        return pending.sequence == acknowledgement.sequence && pending.target == acknowledging;
     });
     const auto relayed = m_relayed.find(acknowledgement.sequence);
     if (relayed != m_relayed.end() && relayed->second.target == from) {
-        send(relayed->second.asker, Acknowledgement {relayed->second.askersSequence, {}, m_revision, digest(), from});
+        send(relayed->second.requester, Acknowledgement {relayed->second.requesterSequence, {}, m_revision, digest(), from});
         m_relayed.erase(relayed);
     }
 }
@@ -388,8 +396,8 @@
     ++m_self.version;
     m_members[m_self.name] = m_self;
     ++m_generation;
-    spread(m_self.name);
-    for (const std::string &name : randomOthers(announcedDirectly, m_self.name)) {
+    enqueueGossip(m_self.name);
+    for (const std::string &name : randomOthers(leaveAnnouncements, m_self.name)) {
         send(name, Probe {++m_sequence, {m_self}, m_revision, digest(), {}});
     }
 }
@@ -409,7 +417,7 @@
 
 std::vector<std::string> Swim::takeNewSuspects()
 {
-    return std::exchange(m_foundSilent, {});
+    return std::exchange(m_newSuspects, {});
 }
 
 const std::map<std::string, Member> &Swim::members() const
@@ -441,7 +449,7 @@
 
 std::uint64_t Swim::digest() const
 {
-    // The order of the members does not matter to a sum.
+    // A sum does not depend on the order of the members.
     std::uint64_t sum = 0;
     for (const auto &[name, member] : m_members) {
         if (isPresent(member)) {
--- a/Source/Membership/swim.h
+++ b/Source/Membership/swim.h
@@ -2,8 +2,9 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Membership of the fleet after SWIM (Das, Gupta, Motivala, DSN 2002): each host probes one other a period, asks others to
-/// probe for it before it suspects, and carries news on its probes. Cost a host does not grow with the fleet.
+/// Fleet membership by the SWIM protocol (Das, Gupta, Motivala, DSN 2002). In each period a host probes one other member. If the
+/// member does not acknowledge the probe, the host asks other members to probe it before it suspects the member. Probes and
+/// acknowledgements carry recent membership updates (gossip). The cost per host does not grow with the size of the fleet.
 
 #pragma once
 
@@ -22,104 +23,119 @@
 
 struct SwimOptions
 {
-    Base::Duration period = std::chrono::milliseconds(400); ///< one probe a period
-    Base::Duration probeTimeout = std::chrono::milliseconds(150); ///< then others are asked to probe
-    unsigned int indirectProbes = 3;
-    unsigned int minSuspicionPeriods = 3; ///< more in a larger fleet, by the logarithm of its size
-    Base::Duration deadRetention = std::chrono::seconds(60); ///< the dead are remembered so that old news cannot revive them
-    Base::Duration fullSyncInterval = std::chrono::seconds(2); ///< least time between whole tables sent
+    Base::Duration period = std::chrono::milliseconds(400); ///< time between two probes
+    /// Time without an acknowledgement after which other members are asked to probe the target.
+    Base::Duration probeTimeout = std::chrono::milliseconds(150);
+    unsigned int indirectProbes = 3; ///< number of members that are asked
+    unsigned int minSuspicionPeriods = 3; ///< periods until a suspect is marked dead; log2 of the fleet size if larger
+    /// Time for which dead members are kept, so that outdated updates cannot revive them.
+    Base::Duration deadRetention = std::chrono::seconds(60);
+    Base::Duration fullSyncInterval = std::chrono::seconds(2); ///< minimum time between two full member tables that are sent
 };
 
-/// A message to the host that listens on an address.
+/// A message and the peer address that it is for.
 struct Outgoing
 {
     std::string address;
     Peer::Message message;
 };
 
-/// Pure state machine: time and randomness come in, messages come out of takeOutgoing().
+/// Implements SWIM as a pure state machine. The caller passes in the time and a random seed, and sends the messages that
+/// takeOutgoing() returns.
 class Swim
 {
 public:
     Swim(Peer::Member self, SwimOptions options, std::uint64_t seed);
 
-    /// Tells of a host that may not be a member yet.
+    /// Adds the address of a host that may not be a member yet. A seed is probed every second until it is a member.
     void addSeed(const std::string &address);
 
-    /// Forgets dead members that the platform no longer lists.
+    /// Removes dead members whose address is not in @p listedAddresses, the addresses that the platform lists.
     void forgetDead(const std::vector<std::string> &listedAddresses);
 
-    /// The revision of the configuration, carried on probes.
+    /// Sets the number that probes and acknowledgements carry so that other hosts notice a different configuration: its revision,
+    /// or a digest of it.
     void setRevision(std::uint64_t revision);
 
-    /// Tells @p count others of the revision at once; the rest learn of it by the usual probes.
+    /// Sends the revision to @p count random members at once. All other members receive it with the regular probes.
     void announceRevision(std::size_t count);
 
-    /// Call at least every probe timeout.
+    /// Sends the probes that are due and checks timeouts. Must be called at least once per probe timeout.
     void tick(Base::Instant now);
 
     void receive(Base::Instant now, const std::string &from, const Peer::Probe &probe);
     void receive(Base::Instant now, const std::string &from, const Peer::Acknowledgement &acknowledgement);
 
-    /// Announces that this host is leaving: it gets no new duties, and is not suspected when it goes.
+    /// Announces that this host will shut down. The other hosts give it no new duties, and mark it dead without suspecting it
+    /// first when it stops responding.
     void leave();
 
+    /// Returns the messages to send since the last call.
     std::vector<Outgoing> takeOutgoing();
 
-    /// The members that this host itself has begun to suspect since the last call: they answer neither it nor those it asked.
+    /// Returns the members that this host itself has begun to suspect since the last call: they acknowledged neither its probe
+    /// nor those of the members that it asked.
     std::vector<std::string> takeNewSuspects();
 
-    /// All members known, this host among them, by name.
+    /// Returns all known members by name, including this host and dead members.
     const std::map<std::string, Peer::Member> &members() const;
 
-    /// Those that are alive, suspected or leaving.
+    /// Returns the members that are not dead: alive, suspected or leaving.
     std::vector<Peer::Member> present() const;
 
     const Peer::Member &self() const;
 
-    /// Grows whenever a member comes, goes or changes.
+    /// Returns a counter that increases whenever a member is added, removed or changed.
     std::uint64_t generation() const;
 
-    /// The last instant at which another member answered; the start if none has.
+    /// Returns the time of the last message from another member; the clock's epoch if there was none.
     Base::Instant lastContact() const;
 
 private:
+    /// A probe that has not been acknowledged yet.
     struct Pending
     {
         std::uint32_t sequence = 0;
         std::string target;
         Base::Instant sentAt;
-        bool indirect = false;
+        bool indirect = false; ///< other members have been asked to probe the target
     };
 
-    /// A probe made for another member.
+    /// A probe that this host sent because another member asked for it.
     struct Relayed
     {
-        std::string asker;
-        std::uint32_t askersSequence = 0;
+        std::string requester;
+        std::uint32_t requesterSequence = 0;
         std::string target;
         Base::Instant sentAt;
     };
 
-    struct News
+    /// A member whose state is still being disseminated.
+    struct GossipEntry
     {
         std::string member;
-        unsigned int sent = 0;
+        unsigned int sent = 0; ///< number of messages that have carried it
     };
 
     void startProbe(Base::Instant now);
     void probeDead();
     void checkProbe(Base::Instant now);
     void checkSuspects(Base::Instant now);
+    /// Marks a member that did not acknowledge a probe as suspect, or as dead if it announced that it would leave.
     void suspect(Base::Instant now, const std::string &name);
     void mergeAll(Base::Instant now, const std::vector<Peer::Member> &members);
-    void merge(Base::Instant now, const Peer::Member &news);
-    void refute(const Peer::Member &news);
+    /// Applies @p update if it is newer than the stored state of the member.
+    void merge(Base::Instant now, const Peer::Member &update);
+    /// Disseminates a higher version of this host if @p update contains a wrong state of it.
+    void refute(const Peer::Member &update);
     void store(Base::Instant now, const Peer::Member &member);
-    void spread(const std::string &member);
-    void learnSender(Base::Instant now, const std::string &from, std::uint64_t digest);
-    std::vector<Peer::Member> pickNews(const std::string &receiver);
-    std::vector<Peer::Member> wholeTable() const;
+    /// Queues the state of @p member for dissemination.
+    void enqueueGossip(const std::string &member);
+    /// Notes a message from @p from, and schedules a full member table for it if its digest differs for too long.
+    void recordContact(Base::Instant now, const std::string &from, std::uint64_t digest);
+    /// Returns the updates that the next message to @p receiver carries, or the full member table if that is due.
+    std::vector<Peer::Member> selectUpdates(const std::string &receiver);
+    std::vector<Peer::Member> fullTable() const;
     std::vector<std::string> randomOthers(std::size_t count, const std::string &except);
     std::string nextTarget();
     std::uint64_t digest() const;
@@ -131,22 +147,22 @@
     std::mt19937_64 m_random;
     std::map<std::string, Peer::Member> m_members;
     std::map<std::string, Base::Instant> m_changedAt; ///< when a member became suspect or dead
-    std::set<std::string> m_wholeDue; ///< members whose next message carries the whole table
+    std::set<std::string> m_fullTableDue; ///< members whose next message carries the full member table
     std::vector<std::string> m_seeds;
-    std::vector<std::string> m_round; ///< the members still to be probed in this round
-    std::deque<News> m_news;
+    std::vector<std::string> m_probeRound; ///< members that are still to be probed in this round
+    std::deque<GossipEntry> m_gossip;
     std::vector<Pending> m_pending;
     std::map<std::uint32_t, Relayed> m_relayed;
     std::vector<Outgoing> m_outgoing;
-    std::vector<std::string> m_foundSilent;
+    std::vector<std::string> m_newSuspects;
     std::uint32_t m_sequence = 0;
     std::uint64_t m_revision = 0;
     std::uint64_t m_generation = 1;
     Base::Instant m_nextProbe {};
-    Base::Instant m_nextSeed {};
+    Base::Instant m_nextSeedProbe {};
     Base::Instant m_lastContact {};
     Base::Instant m_lastChange {};
-    Base::Instant m_lastWhole {};
+    Base::Instant m_lastFullTable {};
 };
 
 } // namespace Yokepond::Membership
--- a/Tests/Membership/dutytest.cpp
+++ b/Tests/Membership/dutytest.cpp
@@ -26,7 +26,7 @@
         }
     }
 
-    std::set<std::string> picked(std::size_t count)
+    std::set<std::string> selected(std::size_t count)
     {
         std::set<std::string> names;
         for (const Member &member : members) {
@@ -38,43 +38,43 @@
     }
 };
 
-TEST(Duty, asManyAsAskedForAreAndAllOfASmallFleet)
+TEST(Duty, theRequestedNumberIsSelectedOrAllOfASmallFleet)
 {
-    CHECK_EQUAL(8U, picked(8).size());
+    CHECK_EQUAL(8U, selected(8).size());
     members.resize(6);
-    CHECK_EQUAL(6U, picked(8).size());
+    CHECK_EQUAL(6U, selected(8).size());
 }
 
-TEST(Duty, oneThatGoesIsReplacedByOneOther)
+TEST(Duty, aRemovedMemberIsReplacedByExactlyOneOther)
 {
-    const std::set<std::string> before = picked(8);
+    const std::set<std::string> before = selected(8);
     std::erase_if(members, [&](const Member &member) { return member.name == *before.begin(); });
-    const std::set<std::string> after = picked(8);
+    const std::set<std::string> after = selected(8);
     CHECK_EQUAL(8U, after.size());
     CHECK_EQUAL(7, std::ranges::count_if(after, [&](const std::string &name) { return before.contains(name); }));
 }
 
-TEST(Duty, leavingMembersArePickedLast)
+TEST(Duty, leavingMembersAreSelectedLast)
 {
-    const std::string first = *picked(1).begin();
+    const std::string first = *selected(1).begin();
     std::ranges::find(members, first, &Member::name)->state = MemberState::Leaving;
-    CHECK_FALSE(picked(8).contains(first));
-    CHECK_TRUE(picked(40).contains(first));
+    CHECK_FALSE(selected(8).contains(first));
+    CHECK_TRUE(selected(40).contains(first));
 }
 
-/// What the store tells of a large configuration took the links of small hosts for most of a second.
-TEST(Duty, hostsWithTheMostProcessorArePickedFirst)
+/// Responses of the store with a large configuration occupied the links of small hosts for most of a second.
+TEST(Duty, hostsWithTheMostProcessorCapacityAreSelectedFirst)
 {
     for (std::size_t index = 0; index < members.size(); ++index) {
         members[index].milliCores = index % 4 == 0 ? 500 : 120;
     }
-    for (const std::string &name : picked(8)) {
+    for (const std::string &name : selected(8)) {
         CHECK_EQUAL(500U, std::ranges::find(members, name, &Member::name)->milliCores);
     }
-    CHECK_EQUAL(12U, picked(12).size());
+    CHECK_EQUAL(12U, selected(12).size());
 }
 
-TEST(Duty, oneThatIsNoMemberIsNotPicked)
+TEST(Duty, aHostThatIsNotAMemberIsNotSelected)
 {
     CHECK_FALSE(Membership::isSelected("other", "store", members, 8));
 }
--- a/Tests/Membership/swimtest.cpp
+++ b/Tests/Membership/swimtest.cpp
@@ -16,7 +16,7 @@
 using Peer::MemberState;
 using Tests::at;
 
-/// Hosts on a network that can be cut in one direction.
+/// Hosts on a network in which each direction of a link can be cut.
 TEST_GROUP(Swim)
 {
     std::map<std::string, std::unique_ptr<Swim>> hosts;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether all hosts but those stopped see @p name in @p state.
+    /// Returns whether all hosts that are not stopped see @p name in @p state.
     bool allSee(const std::string &name, MemberState state)
     {
         return std::ranges::all_of(hosts, [&](const auto &entry) {
@@ -85,21 +85,21 @@
     }
 };
 
-TEST(Swim, hostsFindEachOtherFromOneSeed)
+TEST(Swim, allHostsJoinThroughOneSeed)
 {
     for (const auto &[name, host] : hosts) {
         CHECK_EQUAL(8U, host->present().size());
     }
 }
 
-TEST(Swim, stoppedHostIsDeadEverywhereWithinThreeSeconds)
+TEST(Swim, stoppedHostIsMarkedDeadEverywhereWithinThreeSeconds)
 {
     stopped.insert("h3");
     advance(3);
     CHECK_TRUE(allSee("h3", MemberState::Dead));
 }
 
-TEST(Swim, pausedHostComesBackByItself)
+TEST(Swim, pausedHostRejoinsWithoutHelp)
 {
     stopped.insert("h3");
     advance(4);
@@ -109,7 +109,7 @@
     CHECK_EQUAL(8U, hosts["h3"]->present().size());
 }
 
-TEST(Swim, oneCutLinkDoesNotKillAHost)
+TEST(Swim, oneCutLinkDoesNotMarkAHostDead)
 {
     cut.insert({"h1", "h2"});
     cut.insert({"h2", "h1"});
@@ -117,7 +117,7 @@
     CHECK_TRUE(allSee("h2", MemberState::Alive));
 }
 
-TEST(Swim, hostThatCanOnlyReceiveIsFoundDead)
+TEST(Swim, hostThatCanOnlyReceiveIsMarkedDead)
 {
     for (const auto &[name, host] : hosts) {
         cut.insert({"h4", name});
@@ -136,9 +136,10 @@
     }
 }
 
-/// Its seed still has it as it was before, and no news to tell: nothing else would bring it the others for seconds. Until then it
-/// can neither ask them for what changed nor answer those that ask it.
-TEST(Swim, aHostThatStartsAnewLearnsOfAllTheOthersAtOnce)
+/// The seed still has the restarted host's earlier incarnation and no updates left to disseminate. If the seed did not send its
+/// full member table at once, the restarted host would not know the other hosts for seconds, and could neither request changes
+/// from them nor reply to their requests.
+TEST(Swim, aRestartedHostGetsTheFullMemberTableAtOnce)
 {
     advance(10);
     add("h3", 2);
@@ -146,14 +147,14 @@
     CHECK_EQUAL(8U, hosts["h3"]->present().size());
 }
 
-TEST(Swim, leavingIsKnownAtOnceAndIsNotSuspected)
+TEST(Swim, leavingIsAnnouncedAtOnceWithoutSuspicion)
 {
     hosts["h6"]->leave();
     advance(0.1);
     CHECK_TRUE(allSee("h6", MemberState::Leaving));
 }
 
-TEST(Swim, partitionHealsToOneView)
+TEST(Swim, aPartitionHealsWhenSeedsNameTheOtherSide)
 {
     for (int left = 0; left < 4; ++left) {
         for (int right = 4; right < 8; ++right) {
@@ -164,7 +165,7 @@
     advance(8);
     CHECK_EQUAL(4U, hosts["h0"]->present().size());
     cut.clear();
-    // The platform's list names the hosts of the other side again.
+    // The platform's host list names the other side again.
     for (auto &[name, host] : hosts) {
         host->addSeed("address-h0");
         host->addSeed("address-h7");
@@ -175,11 +176,10 @@
     }
 }
 
-// Seen: after hosts had been cut off from the others for ten seconds, both sides went on as two fleets for good, each with hosts
-// that follow the store and dispatchers of its own. Cause: each side believed the other dead, the dead were never asked again,
-// and where no list of hosts names them nothing else would. Proof: a model of 60 hosts, 20 of them cut off for 10 s, held 20 and
-// 40 for present 40 s later.
-TEST(Swim, aPartitionHealsWhereNothingNamesTheOtherSideAgain)
+/// After a partition of ten seconds, both sides remained separate fleets, each with its own followers of the store and its own
+/// dispatchers. Each side considered the other dead, dead members were never probed again, and no host list named the other side.
+/// In a model of 60 hosts, 20 of which were cut off for 10 s, the two sides still saw 20 and 40 members 40 s later.
+TEST(Swim, aPartitionHealsWithoutSeedsThatNameTheOtherSide)
 {
     for (int left = 0; left < 4; ++left) {
         for (int right = 4; right < 8; ++right) {
