--- a/Source/Lease/lease.cpp
+++ b/Source/Lease/lease.cpp
@@ -7,8 +7,8 @@
 
 namespace Yokepond::Lease {
 
-Lease::Lease(const LeaseOptions &terms, std::uint64_t self)
-    : m_terms(terms)
+Lease::Lease(const LeaseOptions &options, std::uint64_t self)
+    : m_options(options)
     , m_self(self)
 {
 }
@@ -16,7 +16,7 @@
 void Lease::updateRow(Base::Instant now, const RowState &row)
 {
     if (m_writing || (m_known && row.version < m_version)) {
-        // An answer from before what is known by now.
+        // A write is in progress, or the response is older than the known state.
         return;
     }
     const bool changed = row.version != m_version || !m_known;
@@ -24,13 +24,14 @@
     m_own = row.version != 0 && row.holder == m_self;
     if (!m_own) {
         m_fence = 0;
-        m_actUntil = {};
+        m_validUntil = {};
     } else if (m_fence == 0) {
-        // A write whose answer was lost took the row. Its right is counted from when it was sent, so none is left by now.
+        // A write whose response was lost took the row. The validity counts from when that write was sent and is treated as over;
+        // the next write renews it.
         m_fence = row.version;
     }
     if (changed && row.version != m_version) {
-        m_firstSeen = now;
+        m_firstRead = now;
     }
     m_version = row.version;
 }
@@ -40,7 +41,7 @@
     if (!m_known || m_writing) {
         return false;
     }
-    return m_own || m_version == 0 || now - m_firstSeen >= m_terms.takeoverDelay;
+    return m_own || m_version == 0 || now - m_firstRead >= m_options.takeoverDelay;
 }
 
 std::uint64_t Lease::expectedVersion() const
@@ -62,13 +63,13 @@
         m_version = version;
         m_own = true;
         m_fence = m_fence == 0 ? version : m_fence;
-        m_actUntil = m_sentAt + m_terms.validity;
+        m_validUntil = m_sentAt + m_options.validity;
         break;
     case WriteResult::VersionMismatch:
     case WriteResult::Undetermined:
-        // What has been written is known only after a read.
+        // Only a read shows what the row contains now.
         m_known = false;
-        m_actUntil = {};
+        m_validUntil = {};
         break;
     case WriteResult::NotApplied:
         break;
@@ -82,12 +83,12 @@
 
 std::optional<std::uint64_t> Lease::fence(Base::Instant now) const
 {
-    return m_own && m_fence != 0 && now < m_actUntil ? std::optional(m_fence) : std::nullopt;
+    return m_own && m_fence != 0 && now < m_validUntil ? std::optional(m_fence) : std::nullopt;
 }
 
 Base::Duration Lease::remainingTime(Base::Instant now) const
 {
-    return m_own ? std::max(Base::Duration::zero(), m_actUntil - now) : Base::Duration::zero();
+    return m_own ? std::max(Base::Duration::zero(), m_validUntil - now) : Base::Duration::zero();
 }
 
 bool Lease::needsRead() const
--- a/Source/Platform/etcdtable.cpp
+++ b/Source/Platform/etcdtable.cpp
@@ -23,11 +23,11 @@
     return Base::decodeBase64(object.value(field, std::string()));
 }
 
-/// etcd leaves out `kvs` when there are no rows.
-std::vector<Row> rowsOf(const nlohmann::json &answer)
+/// Returns the rows of a range response; none if `kvs` is missing, which etcd omits if there are no rows.
+std::vector<Row> parseRows(const nlohmann::json &response)
 {
     std::vector<Row> rows;
-    for (const nlohmann::json &entry : answer.value("kvs", nlohmann::json::array())) {
+    for (const nlohmann::json &entry : response.value("kvs", nlohmann::json::array())) {
         rows.push_back({decoded(entry, "key"), decoded(entry, "value")});
     }
     return rows;
@@ -65,12 +65,12 @@
     if (result.stage != Http::TransferStage::Complete || result.status != httpOk) {
         return TransactionResult::Undetermined;
     }
-    const nlohmann::json answer = nlohmann::json::parse(body, nullptr, false);
-    if (!answer.is_object()) {
+    const nlohmann::json response = nlohmann::json::parse(body, nullptr, false);
+    if (!response.is_object()) {
         return TransactionResult::Undetermined;
     }
-    // A false `succeeded` is left out by etcd's JSON form.
-    return answer.value("succeeded", false) ? TransactionResult::Done : TransactionResult::GuardFailed;
+    // etcd's JSON omits `succeeded` if it is false.
+    return response.value("succeeded", false) ? TransactionResult::Done : TransactionResult::GuardFailed;
 }
 
 } // namespace
@@ -103,15 +103,15 @@
     }
     fetch(m_client, transfer("/v3/kv/range", body),
           [this, handler = std::move(handler)](const Http::TransferResult &result, const std::string &text) {
-              const nlohmann::json answer = nlohmann::json::parse(text, nullptr, false);
-              if (result.stage != Http::TransferStage::Complete || result.status != httpOk || !answer.is_object()) {
+              const nlohmann::json response = nlohmann::json::parse(text, nullptr, false);
+              if (result.stage != Http::TransferStage::Complete || result.status != httpOk || !response.is_object()) {
                   ++m_counters.failures;
                   handler(makeError(
                       Base::ErrorKind::StoreUnavailable,
-                      fmt::format("the table service did not answer a read: {} (status {})", result.detail, result.status)));
+                      fmt::format("reading from the table service failed: {} (HTTP status {})", result.detail, result.status)));
                   return;
               }
-              handler(rowsOf(answer));
+              handler(parseRows(response));
           });
 }
 
@@ -119,7 +119,7 @@
 {
     ++m_counters.writes;
     Http::Transfer request = transfer("/v3/kv/txn", transactionToJson(transaction));
-    // libcurl repeats a request on a kept connection that proves closed; a transaction must be sent once.
+    // libcurl sends a request again if a reused connection turns out to be closed; a transaction must not be sent twice.
     request.freshConnection = true;
     fetch(m_client, std::move(request),
           [this, handler = std::move(handler)](const Http::TransferResult &result, const std::string &text) {
--- a/Source/Platform/etcdtable.h
+++ b/Source/Platform/etcdtable.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The table service reached by the JSON form of etcd's v3 key-value interface (POST /v3/kv/range and /v3/kv/txn).
+/// Access to a table service through the JSON gateway of etcd's v3 key-value API (POST /v3/kv/range and /v3/kv/txn).
 
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace Yokepond::Platform {
 
-/// Numbers of requests made, for the store's budget.
+/// Numbers of requests sent, which show how much of the store's request budget is used.
 struct TableCounters
 {
     std::uint64_t reads = 0;
@@ -22,15 +22,17 @@
     std::uint64_t failures = 0;
 };
 
+/// Implements the concept Table on the JSON gateway of etcd.
 class EtcdTable
 {
 public:
-    /// @p client must outlive the table.
+    /// @p client must outlive the table. A request that takes longer than @p timeout fails.
     EtcdTable(Http::Client &client, const Base::Address &address, Base::Duration timeout);
 
-    /// Fails with ErrorKind::StoreUnavailable.
+    /// Reads the rows of a key range. Fails with ErrorKind::StoreUnavailable.
     void range(const RangeRead &read, RangeHandler handler);
 
+    /// Executes a transaction. It is sent at most once.
     void transact(const Transaction &transaction, TransactionHandler handler);
 
     const TableCounters &counters() const;
--- a/Source/Platform/feed.h
+++ b/Source/Platform/feed.h
@@ -2,8 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What the hosts need of a platform that keeps the configuration and the list of endpoints itself: whole reads, and calls
-/// that are held until something has changed.
+/// The interface to a platform that stores the configuration and the list of endpoints itself: full reads, and long polls that
+/// return when something has changed.
 
 #pragma once
 
@@ -19,22 +19,24 @@
 
 namespace Yokepond::Platform {
 
-/// Records as of one moment.
+/// Records as of one point in time.
 struct FeedPage
 {
     std::vector<Configuration::Record> records;
-    std::uint64_t version = 0; ///< the platform's newest at that moment
+    std::uint64_t version = 0; ///< highest version on the platform at that time
 };
 
-/// Gets a page, or one of the errors below; on the loop's thread.
+/// Receives a page, or one of the errors listed at Feed. It is called on the loop's thread.
 using FeedHandler = std::function<void(absl::StatusOr<FeedPage>)>;
 
+/// Reads records of the platform and follows their changes.
 template<typename F>
 concept Feed = requires(F feed, Configuration::RecordKind kind, std::uint64_t since, Base::Duration wait, FeedHandler handler) {
-    /// All records of a kind. Fails with ErrorKind::StoreUnavailable or ErrorKind::InvalidValue.
+    /// Reads all records of a kind. Fails with ErrorKind::StoreUnavailable or ErrorKind::InvalidValue.
     feed.read(kind, handler);
-    /// The records changed after version @p since, as soon as there are some or @p wait is over. Fails with
-    /// ErrorKind::StoreUnavailable, ErrorKind::InvalidValue, or ErrorKind::HistoryGone if the platform has forgotten them.
+    /// Gets the records that changed after version @p since, as soon as there are any, or none once @p wait is over. Fails with
+    /// ErrorKind::StoreUnavailable, ErrorKind::InvalidValue, or ErrorKind::HistoryGone if the platform no longer keeps those
+    /// changes.
     feed.follow(kind, since, wait, handler);
 };
 
--- a/Source/Platform/hostlist.cpp
+++ b/Source/Platform/hostlist.cpp
@@ -28,7 +28,7 @@
         return hosts;
     } catch (const nlohmann::json::exception &exception) {
         return Base::makeError(Base::ErrorKind::InvalidValue,
-                               fmt::format("the platform's host list cannot be read: {}", exception.what()));
+                               fmt::format("the platform's host list cannot be parsed: {}", exception.what()));
     }
 }
 
@@ -39,7 +39,7 @@
           [handler = std::move(handler)](const Http::TransferResult &result, const std::string &body) {
               if (result.stage != Http::TransferStage::Complete || result.status != httpOk) {
                   handler(Base::makeError(Base::ErrorKind::StoreUnavailable,
-                                          fmt::format("the platform's host list did not answer: {}", result.detail)));
+                                          fmt::format("the platform's host list could not be fetched: {}", result.detail)));
                   return;
               }
               handler(parseHostList(body));
--- a/Source/Platform/hostlist.h
+++ b/Source/Platform/hostlist.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The platform's list of hosts and endpoints that are live or leaving. It lags.
+/// The platform's list of hosts and endpoints that are live or leaving. The list lags behind the actual state.
 
 #pragma once
 
@@ -22,17 +22,17 @@
 struct ListedHost
 {
     std::string name;
-    std::string address; ///< for hosts the peer address, for endpoints the service address; ip:port
-    std::string role; ///< `router` for our own hosts, `endpoint` for the others
+    std::string address; ///< ip:port; the peer address of a host, or the service address of an endpoint
+    std::string role; ///< `router` for the hosts of yokepond, `endpoint` for endpoints
     ListedState state = ListedState::Live;
 };
 
 using HostListHandler = std::function<void(absl::StatusOr<std::vector<ListedHost>>)>;
 
-/// Parses the answer of `GET /hosts`. Fails with ErrorKind::InvalidValue.
+/// Parses the response to `GET /hosts`. Fails with ErrorKind::InvalidValue.
 absl::StatusOr<std::vector<ListedHost>> parseHostList(std::string_view json);
 
-/// Reads the list. Fails with ErrorKind::StoreUnavailable or ErrorKind::InvalidValue.
+/// Fetches the list. Fails with ErrorKind::StoreUnavailable or ErrorKind::InvalidValue.
 void fetchHostList(Http::Client &client, const Base::Address &platform, Base::Duration timeout, HostListHandler handler);
 
 } // namespace Yokepond::Platform
--- a/Source/Platform/table.h
+++ b/Source/Platform/table.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What the hosts need of the platform's table service. docs/PLATFORM.md tells how to write another adapter.
+/// The interface to the platform's table service. docs/PLATFORM.md describes how to write another adapter.
 
 #pragma once
 
@@ -27,22 +27,22 @@
     bool operator==(const Row &) const = default;
 };
 
-/// Rows with begin <= key < end, in key order; an empty end reads the one key.
+/// Selects the rows with begin <= key < end, in key order. If end is empty, only the row with the key begin is selected.
 struct RangeRead
 {
     std::string begin;
     std::string end;
-    std::size_t limit = 0; ///< 0: none
+    std::size_t limit = 0; ///< maximum number of rows; 0 for no limit
 };
 
-/// A key must have exactly this value, or must not be there.
+/// A condition of a transaction: the key has exactly this value, or does not exist if no value is given.
 struct Guard
 {
     std::string key;
     std::optional<std::string> value;
 };
 
-/// Writes all rows if all guards hold, else none.
+/// Writes and removes all of its rows if all guards hold, otherwise none.
 struct Transaction
 {
     std::vector<Guard> guards;
@@ -50,13 +50,13 @@
     std::vector<std::string> removals;
 };
 
-/// What became of a transaction. Undetermined: the answer was lost, and the writes may have been made.
+/// Result of a transaction. Undetermined means that the response was lost and the writes may have been applied.
 enum class TransactionResult { Done, GuardFailed, NotSent, Undetermined };
 
 using RangeHandler = std::function<void(absl::StatusOr<std::vector<Row>>)>;
 using TransactionHandler = std::function<void(TransactionResult)>;
 
-/// A table service: linearizable reads and conditional transactions, answered later on the loop's thread.
+/// A table service with linearizable reads and conditional transactions. Handlers are called later, on the loop's thread.
 template<typename T>
 concept Table = requires(T table, RangeRead read, Transaction transaction, RangeHandler onRows, TransactionHandler onResult) {
     table.range(read, onRows);
--- a/Tests/Lease/leasetest.cpp
+++ b/Tests/Lease/leasetest.cpp
@@ -25,14 +25,14 @@
 {
     Lease::Lease lease {{.validity = milliseconds(2000), .takeoverDelay = milliseconds(3500)}, self};
 
-    void take(int ms, std::uint64_t version)
+    void acquire(int ms, std::uint64_t version)
     {
         lease.writeStarted(at(ms));
         lease.writeFinished(WriteResult::Done, version);
     }
 };
 
-TEST(Lease, nothingIsWrittenBeforeTheRowIsKnown)
+TEST(Lease, nothingIsWrittenBeforeTheRowIsRead)
 {
     CHECK_TRUE(lease.needsRead());
     CHECK_FALSE(lease.mayWrite(at(10'000)));
@@ -43,18 +43,18 @@
     lease.updateRow(at(0), {0, 0});
     CHECK_TRUE(lease.mayWrite(at(0)));
     CHECK_EQUAL(0U, lease.expectedVersion());
-    take(0, 40);
+    acquire(0, 40);
     CHECK_EQUAL(40U, lease.fence(at(100)).value());
 }
 
-TEST(Lease, anothersRowIsTakenOnlyAfterItWasQuiet)
+TEST(Lease, anotherHoldersRowIsTakenOnlyAfterTheTakeoverDelay)
 {
     lease.updateRow(at(0), {40, other});
     CHECK_FALSE(lease.mayWrite(at(3499)));
     CHECK_TRUE(lease.mayWrite(at(3500)));
 }
 
-TEST(Lease, aChangeOfAnothersRowBeginsTheWaitAnew)
+TEST(Lease, aChangeOfAnotherHoldersRowRestartsTheTakeoverDelay)
 {
     lease.updateRow(at(0), {40, other});
     lease.updateRow(at(3000), {41, other});
@@ -62,11 +62,11 @@
     CHECK_TRUE(lease.mayWrite(at(6500)));
 }
 
-TEST(Lease, theRightIsCountedFromBeforeTheWriteLeft)
+TEST(Lease, validityCountsFromWhenTheWriteWasSent)
 {
     lease.updateRow(at(0), {0, 0});
     lease.writeStarted(at(0));
-    // The answer came late.
+    // The response arrived late.
     lease.writeFinished(WriteResult::Done, 40);
     CHECK_TRUE(lease.fence(at(1999)).has_value());
     CHECK_FALSE(lease.fence(at(2000)).has_value());
@@ -74,16 +74,16 @@
     CHECK_TRUE(lease.remainingTime(at(5000)) == milliseconds(0));
 }
 
-TEST(Lease, theFenceStaysWhileTheHolderDoes)
+TEST(Lease, renewalsKeepTheFencingToken)
 {
     lease.updateRow(at(0), {0, 0});
-    take(0, 40);
-    take(5000, 55);
+    acquire(0, 40);
+    acquire(5000, 55);
     CHECK_EQUAL(40U, lease.fence(at(5100)).value());
     CHECK_EQUAL(55U, lease.expectedVersion());
 }
 
-TEST(Lease, aLostAnswerGivesNoRightUntilTheRowWasReadAndWrittenAgain)
+TEST(Lease, aLostResponseGivesNoLeaseUntilTheRowWasReadAndWrittenAgain)
 {
     lease.updateRow(at(0), {0, 0});
     lease.writeStarted(at(0));
@@ -93,14 +93,14 @@
     lease.updateRow(at(1600), {40, self});
     CHECK_FALSE(lease.fence(at(1600)).has_value());
     CHECK_TRUE(lease.mayWrite(at(1600)));
-    take(1600, 41);
+    acquire(1600, 41);
     CHECK_EQUAL(40U, lease.fence(at(1700)).value());
 }
 
-TEST(Lease, aRefusedWriteEndsTheRight)
+TEST(Lease, aVersionMismatchEndsTheLease)
 {
     lease.updateRow(at(0), {0, 0});
-    take(0, 40);
+    acquire(0, 40);
     lease.writeStarted(at(1000));
     lease.writeFinished(WriteResult::VersionMismatch, 0);
     CHECK_FALSE(lease.fence(at(1100)).has_value());
@@ -108,11 +108,11 @@
     CHECK_FALSE(lease.isHeld());
     CHECK_FALSE(lease.mayWrite(at(4000)));
     CHECK_TRUE(lease.mayWrite(at(4600)));
-    take(4600, 60);
+    acquire(4600, 60);
     CHECK_EQUAL(60U, lease.fence(at(4700)).value());
 }
 
-TEST(Lease, anOlderReadSaysNothing)
+TEST(Lease, anOutdatedReadIsIgnored)
 {
     lease.updateRow(at(0), {50, other});
     lease.updateRow(at(3000), {40, other});
--- a/Tests/Platform/dutyclienttest.cpp
+++ b/Tests/Platform/dutyclienttest.cpp
@@ -8,12 +8,12 @@
 using namespace Yokepond;
 using Http::TransferStage;
 using Lease::WriteResult;
-using Platform::readDutyRow;
-using Platform::readWriteAnswer;
+using Platform::parseDutyRow;
+using Platform::parseWriteResponse;
 
 namespace {
 
-Http::TransferResult answered(int status)
+Http::TransferResult responded(int status)
 {
     Http::TransferResult result;
     result.stage = TransferStage::Complete;
@@ -25,54 +25,54 @@
 
 TEST_GROUP(DutyClient) {};
 
-TEST(DutyClient, theRowIsReadWithItsVersion)
+TEST(DutyClient, theRowIsParsedWithItsVersion)
 {
     const auto row
-        = readDutyRow("usage", R"({"rows":[{"table":"yokepond","part":"","key_file":"other","value":"eA==","schema_version":7},
+        = parseDutyRow("usage", R"({"rows":[{"table":"yokepond","part":"","key_file":"other","value":"eA==","schema_version":7},
         {"table":"yokepond","part":"","key_file":"usage","value":"bm9kZS0x","schema_version":412}],"schema_version":530,"now_ms":1})");
     CHECK_EQUAL(412U, row->version);
     CHECK_EQUAL(std::string("node-1"), row->value);
 }
 
-TEST(DutyClient, anAbsentRowHasNoVersion)
+TEST(DutyClient, anAbsentRowHasVersionZero)
 {
-    CHECK_EQUAL(0U, readDutyRow("usage", R"({"rows":[],"schema_version":530})")->version);
+    CHECK_EQUAL(0U, parseDutyRow("usage", R"({"rows":[],"schema_version":530})")->version);
 }
 
-TEST(DutyClient, whatCannotBeReadIsNoRow)
+TEST(DutyClient, aMalformedBodyIsNotParsedAsARow)
 {
     for (const char *body :
          {"", "[]", "{}", R"({"rows":7})", R"({"rows":[{"key_file":"usage","schema_version":"x","value":"eA=="}]})",
           R"({"rows":[{"key_file":"usage","schema_version":5}]})"}) {
-        CHECK_FALSE(readDutyRow("usage", body).has_value());
+        CHECK_FALSE(parseDutyRow("usage", body).has_value());
     }
 }
 
-TEST(DutyClient, aWritesAnswerTellsWhetherItWasDone)
+TEST(DutyClient, theResponseToAWriteShowsWhetherItWasApplied)
 {
-    const auto done = readWriteAnswer("usage", answered(200), R"({"schema_version":412,"now_ms":51230})");
+    const auto done = parseWriteResponse("usage", responded(200), R"({"schema_version":412,"now_ms":51230})");
     CHECK_TRUE(done.result == WriteResult::Done);
     CHECK_EQUAL(412U, done.version);
-    const auto refused = readWriteAnswer(
-        "usage", answered(412), R"({"rows":[{"key_file":"usage","value":"eA==","schema_version":9}],"schema_version":10})");
-    CHECK_TRUE(refused.result == WriteResult::VersionMismatch);
-    CHECK_EQUAL(9U, refused.row->version);
-    CHECK_TRUE(readWriteAnswer("usage", answered(503), "").result == WriteResult::NotApplied);
-    CHECK_TRUE(readWriteAnswer("usage", answered(429), "").result == WriteResult::NotApplied);
+    const auto mismatch = parseWriteResponse(
+        "usage", responded(412), R"({"rows":[{"key_file":"usage","value":"eA==","schema_version":9}],"schema_version":10})");
+    CHECK_TRUE(mismatch.result == WriteResult::VersionMismatch);
+    CHECK_EQUAL(9U, mismatch.row->version);
+    CHECK_TRUE(parseWriteResponse("usage", responded(503), "").result == WriteResult::NotApplied);
+    CHECK_TRUE(parseWriteResponse("usage", responded(429), "").result == WriteResult::NotApplied);
 }
 
-/// Only the store's own word, or a call that never left, says that nothing was done.
-TEST(DutyClient, allElseIsUndetermined)
+/// A write is known not to be applied only if the store reports it or the call was never sent.
+TEST(DutyClient, allOtherOutcomesOfAWriteAreUndetermined)
 {
-    CHECK_TRUE(readWriteAnswer("usage", answered(500), "").result == WriteResult::Undetermined);
-    CHECK_TRUE(readWriteAnswer("usage", answered(200), "no JSON").result == WriteResult::Undetermined);
-    CHECK_TRUE(readWriteAnswer("usage", answered(200), R"({"schema_version":"x"})").result == WriteResult::Undetermined);
+    CHECK_TRUE(parseWriteResponse("usage", responded(500), "").result == WriteResult::Undetermined);
+    CHECK_TRUE(parseWriteResponse("usage", responded(200), "no JSON").result == WriteResult::Undetermined);
+    CHECK_TRUE(parseWriteResponse("usage", responded(200), R"({"schema_version":"x"})").result == WriteResult::Undetermined);
     Http::TransferResult cut;
     cut.stage = TransferStage::Sent;
-    CHECK_TRUE(readWriteAnswer("usage", cut, "").result == WriteResult::Undetermined);
+    CHECK_TRUE(parseWriteResponse("usage", cut, "").result == WriteResult::Undetermined);
     cut.stage = TransferStage::Answering;
     cut.status = 503;
-    CHECK_TRUE(readWriteAnswer("usage", cut, "").result == WriteResult::Undetermined);
+    CHECK_TRUE(parseWriteResponse("usage", cut, "").result == WriteResult::Undetermined);
     cut.stage = TransferStage::NotSent;
-    CHECK_TRUE(readWriteAnswer("usage", cut, "").result == WriteResult::NotApplied);
+    CHECK_TRUE(parseWriteResponse("usage", cut, "").result == WriteResult::NotApplied);
 }
--- a/Tests/Platform/requestprotocoltest.cpp
+++ b/Tests/Platform/requestprotocoltest.cpp
@@ -22,7 +22,7 @@
     {
         request.headers = {{"host", "Site.example:8080"},
                            {std::string(Names::requestId), "id-1"},
-                           {std::string(Names::key), "secret"},
+                           {std::string(Names::callerKey), "secret"},
                            {std::string(Names::organisation), "forged"},
                            {std::string(Names::deadline), "6000"},
                            {std::string(Names::tokens), "1460,80"},
@@ -33,7 +33,7 @@
         run.deadline = Base::now() + std::chrono::seconds(5);
     }
 
-    Relay::CallArrived described()
+    Relay::CallArrived describedCall()
     {
         RequestProtocol::State state;
         Relay::CallArrived call;
@@ -41,63 +41,63 @@
         return call;
     }
 
-    std::string sent(std::string_view name, const std::string &lastEventId = "")
+    std::string sentHeader(std::string_view name, const std::string &lastEventId = "")
     {
         const Http::Transfer transfer = protocol.transfer({}, request, run, lastEventId);
         return std::string(Http::headerValue(transfer.headers, name).value_or("(none)"));
     }
 
-    AnswerKind judged(int status, Http::Headers headers)
+    AnswerKind classified(int status, Http::Headers headers)
     {
         return protocol.judge(run, {status, std::move(headers)});
     }
 
-    Http::Headers answer()
+    Http::Headers response()
     {
         return {{std::string(Names::requestId), "id-1"}, {std::string(Names::signature), "s"}};
     }
 };
 
-TEST(RequestProtocol, theRateThatAnEndpointStatesIsTypedOnce)
+TEST(RequestProtocol, theAdvertisedRateIsParsed)
 {
-    const auto stated = [&](int status, const char *text) {
-        return protocol.statement({}, {status, {{std::string(Names::statedRate), text}}}).rate;
+    const auto advertised = [&](int status, const char *text) {
+        return protocol.statement({}, {status, {{std::string(Names::advertisedRate), text}}}).rate;
     };
-    CHECK_TRUE(protocol.statement({}, {200, answer()}).rate.statement == Rate::Statement::None);
-    CHECK_TRUE(stated(200, "0.2").statement == Rate::Statement::Limit);
-    DOUBLES_EQUAL(0.2, stated(200, "0.2").perSecond, 1e-9);
-    DOUBLES_EQUAL(3.0, stated(500, " 3 ").perSecond, 1e-9);
-    CHECK_TRUE(stated(503, "0").statement == Rate::Statement::Limit);
-    DOUBLES_EQUAL(Rate::largestRate, stated(200, "100000000000000000000").perSecond, 1e-9);
+    CHECK_TRUE(protocol.statement({}, {200, response()}).rate.statement == Rate::Statement::None);
+    CHECK_TRUE(advertised(200, "0.2").statement == Rate::Statement::Limit);
+    DOUBLES_EQUAL(0.2, advertised(200, "0.2").perSecond, 1e-9);
+    DOUBLES_EQUAL(3.0, advertised(500, " 3 ").perSecond, 1e-9);
+    CHECK_TRUE(advertised(503, "0").statement == Rate::Statement::Limit);
+    DOUBLES_EQUAL(Rate::largestRate, advertised(200, "100000000000000000000").perSecond, 1e-9);
     for (const char *text : {"", "-1", "many", "1 2", "nan", "inf", "1e3", "0x10", "1,5"}) {
-        CHECK_TRUE(stated(200, text).statement == Rate::Statement::Unreadable);
+        CHECK_TRUE(advertised(200, text).statement == Rate::Statement::Unreadable);
     }
 }
 
-TEST(RequestProtocol, whatAnEndpointSaysOfLeavingAndRestIsTypedOnce)
+TEST(RequestProtocol, advertisedLeavingAndCooldownAreParsed)
 {
-    const auto stated = [&](int status, Http::Headers headers) {
+    const auto advertised = [&](int status, Http::Headers headers) {
         return protocol.statement({}, {status, std::move(headers)}).availability;
     };
     const Http::Header leaving {std::string(Names::leaving), "1"};
-    const Http::Header rest {std::string(Names::retryAfter), "3"};
-    const Http::Header notRun {std::string(Names::notRun), "1"};
+    const Http::Header cooldown {std::string(Names::retryAfter), "3"};
+    const Http::Header notExecuted {std::string(Names::notExecuted), "1"};
     for (const int status : {200, 404, 500, 503}) {
-        CHECK_TRUE(stated(status, {leaving}).leaves);
-        CHECK_FALSE(stated(status, {rest}).leaves);
+        CHECK_TRUE(advertised(status, {leaving}).leaves);
+        CHECK_FALSE(advertised(status, {cooldown}).leaves);
     }
-    CHECK_TRUE(stated(503, {rest, notRun}).rest == std::chrono::seconds(3));
-    CHECK_TRUE(stated(503, {rest}).rest == std::chrono::seconds(3));
-    CHECK_TRUE(stated(429, {rest, notRun}).rest == std::chrono::seconds(3));
-    // An application's word to one caller.
+    CHECK_TRUE(advertised(503, {cooldown, notExecuted}).rest == std::chrono::seconds(3));
+    CHECK_TRUE(advertised(503, {cooldown}).rest == std::chrono::seconds(3));
+    CHECK_TRUE(advertised(429, {cooldown, notExecuted}).rest == std::chrono::seconds(3));
+    // In these responses `retry-after` is from the application and meant for one caller.
     for (const int status : {200, 413, 429, 500}) {
-        CHECK_TRUE(stated(status, {rest}).rest == Base::Duration::zero());
+        CHECK_TRUE(advertised(status, {cooldown}).rest == Base::Duration::zero());
     }
 }
 
 TEST(RequestProtocol, headersBecomeTypedFields)
 {
-    const Relay::CallArrived call = described();
+    const Relay::CallArrived call = describedCall();
     STRCMP_EQUAL("site.example", call.host.c_str());
     STRCMP_EQUAL("/a%20b/", call.path.c_str());
     STRCMP_EQUAL("id-1", call.callersName.c_str());
@@ -109,104 +109,105 @@
     CHECK_TRUE(call.prefixTokens == (std::vector<std::uint32_t> {800, 1210, 1460}));
 }
 
-TEST(RequestProtocol, promptsThatBeginAlikeShareTheBeginningOfTheirChains)
+TEST(RequestProtocol, promptsWithACommonPrefixShareItsHashes)
 {
-    const auto first = described().prefix;
+    const auto first = describedCall().prefix;
     request.headers[6].value = "5c:800,91:410,aa:100";
-    const auto second = described().prefix;
+    const auto second = describedCall().prefix;
     CHECK_EQUAL(first[1], second[1]);
     CHECK_TRUE(first[2] != second[2]);
 }
 
-TEST(RequestProtocol, brokenNumbersAreAbsentOnes)
+TEST(RequestProtocol, malformedNumbersAreIgnored)
 {
     request.headers[5].value = "many,";
     request.headers[6].value = "nonsense";
-    const Relay::CallArrived call = described();
+    const Relay::CallArrived call = describedCall();
     CHECK_EQUAL(0U, call.promptTokens);
     CHECK_TRUE(call.prefix.empty());
 }
 
-TEST(RequestProtocol, theEndpointGetsTheRequestUnalteredAndOurWordOnTheRest)
+TEST(RequestProtocol, theEndpointGetsTheRequestUnchangedAndTheRoutersHeaders)
 {
     const Http::Transfer transfer = protocol.transfer({}, request, run, "");
     STRCMP_EQUAL("/a%20b/?q=1%2F2", transfer.target.c_str());
     CHECK_TRUE(transfer.freshConnection);
-    STRCMP_EQUAL("town", sent(Names::organisation).c_str());
-    STRCMP_EQUAL("i-7", sent(Names::expectEndpoint).c_str());
-    STRCMP_EQUAL("2", sent(Names::priority).c_str());
-    STRCMP_EQUAL("(none)", sent(Names::key).c_str());
-    STRCMP_EQUAL("(none)", sent("x-hop").c_str());
-    STRCMP_EQUAL("(none)", sent("connection").c_str());
-    STRCMP_EQUAL("", sent("x-own").c_str());
-    STRCMP_EQUAL("Site.example:8080", sent("host").c_str());
-    const int left = std::stoi(sent(Names::deadline));
+    STRCMP_EQUAL("town", sentHeader(Names::organisation).c_str());
+    STRCMP_EQUAL("i-7", sentHeader(Names::expectEndpoint).c_str());
+    STRCMP_EQUAL("2", sentHeader(Names::priority).c_str());
+    STRCMP_EQUAL("(none)", sentHeader(Names::callerKey).c_str());
+    STRCMP_EQUAL("(none)", sentHeader("x-hop").c_str());
+    STRCMP_EQUAL("(none)", sentHeader("connection").c_str());
+    STRCMP_EQUAL("", sentHeader("x-own").c_str());
+    STRCMP_EQUAL("Site.example:8080", sentHeader("host").c_str());
+    const int left = std::stoi(sentHeader(Names::deadline));
     CHECK_TRUE(left > 4000 && left <= 5000);
 }
 
-/// Endpoints obey these whoever wrote them; a lease or a handle that a caller made up is refused as not run, or pins memory.
-TEST(RequestProtocol, aCallerCannotGiveOrdersThatAreTheRouters)
+/// Endpoints obey these headers whoever wrote them: with a forged retention policy or transfer handle they reject the request
+/// without running it, or pin memory.
+TEST(RequestProtocol, aCallerCannotSetTheRoutersHeaders)
 {
-    const std::vector<std::string> orders
+    const std::vector<std::string> routerHeaders
         = {"x-retention-policy", "x-pin-ms",          "x-kv-backup", "kv-from", "kv-fetch",          "kv-later",
            "x-expect-version",   "x-expect-instance", "x-tenant-id", "expect",  "x-request-priority"};
-    for (const std::string &order : orders) {
-        request.headers.push_back({order, "forged"});
+    for (const std::string &routerHeader : routerHeaders) {
+        request.headers.push_back({routerHeader, "forged"});
     }
-    for (const std::string &order : orders) {
-        CHECK_TRUE(sent(order) != "forged");
+    for (const std::string &routerHeader : routerHeaders) {
+        CHECK_TRUE(sentHeader(routerHeader) != "forged");
     }
-    STRCMP_EQUAL("(none)", sent("x-retention-policy").c_str());
-    STRCMP_EQUAL("(none)", sent("kv-from").c_str());
-    STRCMP_EQUAL("(none)", sent("x-expect-version").c_str());
+    STRCMP_EQUAL("(none)", sentHeader("x-retention-policy").c_str());
+    STRCMP_EQUAL("(none)", sentHeader("kv-from").c_str());
+    STRCMP_EQUAL("(none)", sentHeader("x-expect-version").c_str());
 }
 
-TEST(RequestProtocol, anEndpointIsToldWhoKeepsThePrompt)
+TEST(RequestProtocol, theEndpointGetsTheAddressOfThePromptsKeeper)
 {
-    STRCMP_EQUAL("(none)", sent("kv-fetch").c_str());
+    STRCMP_EQUAL("(none)", sentHeader("kv-fetch").c_str());
     run.keeper = "10.0.0.2:80";
-    STRCMP_EQUAL("10.0.0.2:80", sent("kv-fetch").c_str());
+    STRCMP_EQUAL("10.0.0.2:80", sentHeader("kv-fetch").c_str());
 }
 
-TEST(RequestProtocol, whatACallerSaysOfItsPromptReachesTheEndpoint)
+TEST(RequestProtocol, theCallersPromptHeadersReachTheEndpoint)
 {
     request.headers.push_back({std::string(Names::lengthHint), "70"});
     request.headers.push_back({std::string(Names::model), "m"});
-    STRCMP_EQUAL("70", sent(Names::lengthHint).c_str());
-    STRCMP_EQUAL("m", sent(Names::model).c_str());
-    STRCMP_EQUAL("1460,80", sent(Names::tokens).c_str());
-    STRCMP_EQUAL("5c:800,91:410,e4:250", sent(Names::prefixParts).c_str());
-    STRCMP_EQUAL("id-1", sent(Names::requestId).c_str());
+    STRCMP_EQUAL("70", sentHeader(Names::lengthHint).c_str());
+    STRCMP_EQUAL("m", sentHeader(Names::model).c_str());
+    STRCMP_EQUAL("1460,80", sentHeader(Names::tokens).c_str());
+    STRCMP_EQUAL("5c:800,91:410,e4:250", sentHeader(Names::prefixParts).c_str());
+    STRCMP_EQUAL("id-1", sentHeader(Names::requestId).c_str());
 }
 
-TEST(RequestProtocol, aStreamGoesOnBehindItsLastEvent)
+TEST(RequestProtocol, aStreamResumesAfterItsLastEvent)
 {
-    STRCMP_EQUAL("(none)", sent(Names::lastEventId).c_str());
+    STRCMP_EQUAL("(none)", sentHeader(Names::lastEventId).c_str());
     request.headers.push_back({std::string(Names::lastEventId), "4"});
-    STRCMP_EQUAL("4", sent(Names::lastEventId).c_str());
-    STRCMP_EQUAL("9", sent(Names::lastEventId, "9").c_str());
+    STRCMP_EQUAL("4", sentHeader(Names::lastEventId).c_str());
+    STRCMP_EQUAL("9", sentHeader(Names::lastEventId, "9").c_str());
 }
 
-TEST(RequestProtocol, onlyTheEndpointsOwnWordIsARefusal)
+TEST(RequestProtocol, onlyAResponseMarkedAsNotExecutedIsARejection)
 {
-    Http::Headers refused = answer();
-    refused.push_back({std::string(Names::notRun), "1"});
-    CHECK_TRUE(judged(503, refused) == AnswerKind::Refused);
-    CHECK_TRUE(judged(421, {}) == AnswerKind::Gone);
+    Http::Headers rejection = response();
+    rejection.push_back({std::string(Names::notExecuted), "1"});
+    CHECK_TRUE(classified(503, rejection) == AnswerKind::Refused);
+    CHECK_TRUE(classified(421, {}) == AnswerKind::Gone);
     run.repeatable = false;
-    CHECK_TRUE(judged(503, answer()) == AnswerKind::Body);
-    CHECK_TRUE(judged(500, answer()) == AnswerKind::Body);
+    CHECK_TRUE(classified(503, response()) == AnswerKind::Body);
+    CHECK_TRUE(classified(500, response()) == AnswerKind::Body);
     run.repeatable = true;
-    CHECK_TRUE(judged(500, answer()) == AnswerKind::Failed);
+    CHECK_TRUE(classified(500, response()) == AnswerKind::Failed);
 }
 
-TEST(RequestProtocol, anAnswerOfAnotherRequestOrWithoutASignatureIsNone)
+TEST(RequestProtocol, aResponseOfAnotherRequestOrWithoutSignatureIsAFailure)
 {
-    CHECK_TRUE(judged(200, answer()) == AnswerKind::Body);
-    CHECK_TRUE(judged(200, {{std::string(Names::requestId), "id-1"}}) == AnswerKind::Failed);
-    CHECK_TRUE(judged(200, {{std::string(Names::requestId), "id-2"}, {std::string(Names::signature), "s"}})
+    CHECK_TRUE(classified(200, response()) == AnswerKind::Body);
+    CHECK_TRUE(classified(200, {{std::string(Names::requestId), "id-1"}}) == AnswerKind::Failed);
+    CHECK_TRUE(classified(200, {{std::string(Names::requestId), "id-2"}, {std::string(Names::signature), "s"}})
                == AnswerKind::Failed);
-    Http::Headers events = answer();
+    Http::Headers events = response();
     events.push_back({"content-type", "text/event-stream"});
-    CHECK_TRUE(judged(200, events) == AnswerKind::Events);
+    CHECK_TRUE(classified(200, events) == AnswerKind::Events);
 }
--- a/Tests/Platform/siteformtest.cpp
+++ b/Tests/Platform/siteformtest.cpp
@@ -67,7 +67,7 @@
     CHECK_EQUAL(1, *town.rank);
 }
 
-TEST(SiteForm, endpointsThatLeaveAreDrainedAndMalformedOnesLeftOut)
+TEST(SiteForm, leavingEndpointsAreDrainedAndMalformedOnesRejected)
 {
     endpoint("i-2", 9, R"({"service":"llm","address":"10.0.0.8:80","slots":64,"state":"draining"})");
     endpoint("i-3", 10, "not json");
@@ -81,7 +81,7 @@
     CHECK_EQUAL(17U, parts->revision);
 }
 
-TEST(SiteForm, enginesThatMoveNothingHaveNoSpeedOfMoving)
+TEST(SiteForm, enginesThatCannotTransferPromptsHaveNoTransferRate)
 {
     const std::string still = R"({"routes":[],"services":[{"name":"llm","engine":{"kv_bytes":16000,"link_mbps":320000.0}}]})";
     records.merge({RecordKind::Configuration, "config", 9, false, still});
@@ -95,8 +95,9 @@
     CHECK_TRUE(Base::errorKind(Platform::decodeSite({}).status()) == Base::ErrorKind::NotReady);
 }
 
-/// Entries may come from another writer, or be cut: none of them becomes an endpoint, the others hold, and each is told.
-TEST(SiteForm, recordsThatAreNotAnEndpointsOwnAreLeftOut)
+/// Records may be truncated, or written by something other than the endpoint. None of them becomes an endpoint, the valid ones
+/// remain, and each rejected record is reported with a reason.
+TEST(SiteForm, invalidEndpointRecordsAreRejected)
 {
     const std::vector<std::string> bad = {
         R"({"service":"llm","zone":"a","slots":64,"state":"ready"})",
@@ -127,7 +128,7 @@
     CHECK_TRUE(std::ranges::none_of(parts->rejected, [](const RejectedRecord &record) { return record.reason.empty(); }));
 }
 
-TEST(SiteForm, howAPoolMayBeScaledIsRead)
+TEST(SiteForm, scalingParametersOfAPoolAreParsed)
 {
     records.merge({RecordKind::Configuration, "config", 8, false,
                    R"({"version":8,"routes":[],"services":[{"name":"llm","scaling":{"min_count":1,"max_count":60,"boot_s":4.0,
