--- a/Source/Configuration/changescodec.cpp
+++ b/Source/Configuration/changescodec.cpp
@@ -28,7 +28,7 @@
 
 absl::StatusOr<PackedChanges> packAgainst(const RecordChanges &changes, const Record *configuration, std::uint64_t base)
 {
-    auto bytes = Base::compressed(changesToText(changes), dictionaryOf(configuration));
+    auto bytes = Base::compress(changesToText(changes), dictionaryOf(configuration));
     if (!bytes.ok()) {
         return bytes.status();
     }
@@ -73,7 +73,7 @@
                          fmt::format("the changes are compressed against configuration version {}, which this host no longer has",
                                      packed.base));
     }
-    const auto text = Base::expanded(packed.bytes, dictionaryOf(base), maxUnpackedBytes);
+    const auto text = Base::decompress(packed.bytes, dictionaryOf(base), maxUnpackedBytes);
     if (!text.ok()) {
         return text.status();
     }
--- a/Tests/Dispatch/randomtest.cpp
+++ b/Tests/Dispatch/randomtest.cpp
@@ -106,7 +106,7 @@
         return m_open.size();
     }
 
-    std::uint64_t ended() const
+    std::uint64_t recordEnd() const
     {
         return m_ended;
     }
@@ -182,7 +182,7 @@
         member->state = MemberState::Alive;
         entry = makeHost(*member);
         for (auto &[other, theirs] : m_hosts) {
-            theirs.dispatcher->homeGone(m_now, host, member->incarnation);
+            theirs.dispatcher->removeHome(m_now, host, member->incarnation);
             collect(other);
         }
         showView(host);
@@ -286,11 +286,17 @@
     {
         for (const Run &run : takeDue(m_running)) {
             using Yokepond::Request::RunStage;
-            static constexpr std::array stages = {RunStage::Whole, RunStage::Whole,   RunStage::Whole,   RunStage::Whole,
-                                                  RunStage::Sent,  RunStage::NotSent, RunStage::Refused, RunStage::Stale};
+            static constexpr std::array stages = {RunStage::ResponseComplete,
+                                                  RunStage::ResponseComplete,
+                                                  RunStage::ResponseComplete,
+                                                  RunStage::ResponseComplete,
+                                                  RunStage::Sent,
+                                                  RunStage::NotSent,
+                                                  RunStage::Rejected,
+                                                  RunStage::Stale};
             const RunStage stage = stages.at(m_random() % stages.size());
             const Request request {run.incarnation, run.id.request};
-            if (stage == RunStage::Whole || stage == RunStage::Sent) {
+            if (stage == RunStage::ResponseComplete || stage == RunStage::Sent) {
                 const bool first = m_ran.insert(request).second;
                 CHECK_TRUE(first || !m_unrepeatable.at(request));
             }
@@ -332,8 +338,8 @@
             world.step();
         }
         world.settle();
-        fmt::print("seed {}: {} steps, {} requests ended, {} runs\n", seed, steps, world.ended(), world.runs());
+        fmt::print("seed {}: {} steps, {} requests ended, {} runs\n", seed, steps, world.recordEnd(), world.runs());
         CHECK_EQUAL(0U, world.open());
-        CHECK_TRUE(world.ended() > 1000);
+        CHECK_TRUE(world.recordEnd() > 1000);
     }
 }
--- a/Tests/Platform/requestprotocoltest.cpp
+++ b/Tests/Platform/requestprotocoltest.cpp
@@ -61,23 +61,23 @@
 TEST(RequestProtocol, theAdvertisedRateIsParsed)
 {
     const auto advertised = [&](int status, const char *text) {
-        return protocol.statement({}, {status, {{std::string(Names::advertisedRate), text}}}).rate;
+        return protocol.advertisement({}, {status, {{std::string(Names::advertisedRate), text}}}).rate;
     };
-    CHECK_TRUE(protocol.statement({}, {200, response()}).rate.statement == Rate::Statement::None);
-    CHECK_TRUE(advertised(200, "0.2").statement == Rate::Statement::Limit);
+    CHECK_TRUE(protocol.advertisement({}, {200, response()}).rate.header == Rate::RateHeader::None);
+    CHECK_TRUE(advertised(200, "0.2").header == Rate::RateHeader::Limit);
     DOUBLES_EQUAL(0.2, advertised(200, "0.2").perSecond, 1e-9);
     DOUBLES_EQUAL(3.0, advertised(500, " 3 ").perSecond, 1e-9);
-    CHECK_TRUE(advertised(503, "0").statement == Rate::Statement::Limit);
+    CHECK_TRUE(advertised(503, "0").header == Rate::RateHeader::Limit);
     DOUBLES_EQUAL(Rate::largestRate, advertised(200, "100000000000000000000").perSecond, 1e-9);
     for (const char *text : {"", "-1", "many", "1 2", "nan", "inf", "1e3", "0x10", "1,5"}) {
-        CHECK_TRUE(advertised(200, text).statement == Rate::Statement::Unreadable);
+        CHECK_TRUE(advertised(200, text).header == Rate::RateHeader::Unreadable);
     }
 }
 
 TEST(RequestProtocol, advertisedLeavingAndCooldownAreParsed)
 {
     const auto advertised = [&](int status, Http::Headers headers) {
-        return protocol.statement({}, {status, std::move(headers)}).availability;
+        return protocol.advertisement({}, {status, std::move(headers)}).availability;
     };
     const Http::Header leaving {std::string(Names::leaving), "1"};
     const Http::Header cooldown {std::string(Names::retryAfter), "3"};
@@ -86,12 +86,12 @@
         CHECK_TRUE(advertised(status, {leaving}).leaves);
         CHECK_FALSE(advertised(status, {cooldown}).leaves);
     }
-    CHECK_TRUE(advertised(503, {cooldown, notExecuted}).rest == std::chrono::seconds(3));
-    CHECK_TRUE(advertised(503, {cooldown}).rest == std::chrono::seconds(3));
-    CHECK_TRUE(advertised(429, {cooldown, notExecuted}).rest == std::chrono::seconds(3));
+    CHECK_TRUE(advertised(503, {cooldown, notExecuted}).cooldown == std::chrono::seconds(3));
+    CHECK_TRUE(advertised(503, {cooldown}).cooldown == std::chrono::seconds(3));
+    CHECK_TRUE(advertised(429, {cooldown, notExecuted}).cooldown == std::chrono::seconds(3));
     // In these responses `retry-after` is from the application and meant for one caller.
     for (const int status : {200, 413, 429, 500}) {
-        CHECK_TRUE(advertised(status, {cooldown}).rest == Base::Duration::zero());
+        CHECK_TRUE(advertised(status, {cooldown}).cooldown == Base::Duration::zero());
     }
 }
 
@@ -193,7 +193,7 @@
     Http::Headers rejection = response();
     rejection.push_back({std::string(Names::notExecuted), "1"});
     CHECK_TRUE(classified(503, rejection) == AnswerKind::Refused);
-    CHECK_TRUE(classified(421, {}) == AnswerKind::Gone);
+    CHECK_TRUE(classified(421, {}) == AnswerKind::EndpointReplaced);
     run.repeatable = false;
     CHECK_TRUE(classified(503, response()) == AnswerKind::Body);
     CHECK_TRUE(classified(500, response()) == AnswerKind::Body);
