--- a/Source/Peer/codec.cpp
+++ b/Source/Peer/codec.cpp
@@ -146,7 +146,9 @@
     return {reinterpret_cast<const char *>(data.begin()), data.size()};
 }
 
-/// Writes a message into the wire form, with one overload for each type.
+/// Writes a message into the wire form, with one overload for each type. The schema keeps names that the plain types do not have
+/// any more: News for updates, Knowledge for RateKind, Held for quarantined, FirstEnding for the first crash, Left for the
+/// remaining time, and RestsFor for the cooldown.
 struct Encoder
 {
     Wire::Message::Builder message;
@@ -188,7 +190,7 @@
         builder.setShard(update.shard);
         builder.setEndpoint(update.endpoint);
         encodeRate(update.rate, builder.initRate());
-        // Rounded up, so that the receiver's time does not end before the endpoint's.
+        // Rounded up, so that the leaving period and the cooldown do not end too early at the receiver.
         builder.setLeavesForMs(toMilliseconds(std::chrono::ceil<std::chrono::milliseconds>(update.availability.leavingFor)));
         builder.setRestsForMs(toMilliseconds(std::chrono::ceil<std::chrono::milliseconds>(update.availability.cooldownFor)));
     }
@@ -477,8 +479,8 @@
     return update;
 }
 
-/// Maps the types of messages to kinds of traffic; a type that is not listed belongs to dispatch.
-struct TrafficKind
+/// Maps the types of messages to categories; a type that is not listed belongs to dispatch.
+struct TrafficCategory
 {
     template<typename Kind>
     Traffic operator()(const Kind &) const
@@ -504,7 +506,7 @@
 
 Traffic trafficOf(const Message &message)
 {
-    return std::visit(TrafficKind {}, message);
+    return std::visit(TrafficCategory {}, message);
 }
 
 void encode(const Message &message, Wire::Message::Builder builder)
--- a/Source/Peer/codec.h
+++ b/Source/Peer/codec.h
@@ -16,7 +16,7 @@
 /// Writes @p message into @p builder.
 void encode(const Message &message, Wire::Message::Builder builder);
 
-/// Reads a message. Returns nothing if a newer host sent a kind or an enumerator that this version does not know.
+/// Reads a message. Returns nothing if a newer host sent a type of message or an enumerator that this version does not know.
 std::optional<Message> decode(Wire::Message::Reader reader);
 
 } // namespace Yokepond::Peer
--- a/Source/Peer/edge.cpp
+++ b/Source/Peer/edge.cpp
@@ -29,7 +29,7 @@
 constexpr unsigned int maxCallsInFlight = 2;
 constexpr auto connectTimeout = 1 * kj::SECONDS;
 constexpr auto callTimeout = 4 * kj::SECONDS;
-constexpr auto reconnectDelay = 100 * kj::MILLISECONDS;
+constexpr auto destroyDelay = 100 * kj::MILLISECONDS;
 
 struct Outgoing
 {
@@ -37,13 +37,13 @@
     Message message;
 };
 
-/// Ends the incoming call that has this token.
-struct EndCall
+/// Returns the incoming call that has this token.
+struct ReturnCall
 {
     std::uint64_t token = 0;
 };
 
-using Command = std::variant<Outgoing, EndCall>;
+using Command = std::variant<Outgoing, ReturnCall>;
 
 /// Encodes the first @p count of @p messages into a list and adds their sizes to @p sentBytes.
 template<typename ListBuilder>
@@ -80,7 +80,7 @@
     {
     }
 
-    /// Adds a call from the peer at @p address. Returns its token and a promise that is fulfilled by finish().
+    /// Adds a call from the peer at @p address. Returns its token and a promise that is fulfilled by returnCall().
     std::pair<std::uint64_t, kj::Promise<void>> open(const std::string &address, PostContext context)
     {
         auto pair = kj::newPromiseAndFulfiller<void>();
@@ -101,8 +101,8 @@
         return true;
     }
 
-    /// Writes the call's result and returns it to the peer.
-    void finish(std::uint64_t token)
+    /// Writes the call's result and returns the call to the peer.
+    void returnCall(std::uint64_t token)
     {
         const auto entry = m_calls.find(token);
         if (entry == m_calls.end()) {
@@ -272,8 +272,8 @@
         fail(exception.getDescription().cStr());
     }
 
-    /// Runs @p task. Its failure closes the present connection only if the task belongs to that connection: the calls of an
-    /// earlier one, which was closed already, fail later and one by one.
+    /// Runs @p task. If it fails, it closes the present connection only if the task belongs to it. Calls of a connection that was
+    /// closed before fail later, one by one, and must not close the present one.
     void watch(kj::Promise<void> task)
     {
         const auto generation = m_generation;
@@ -375,7 +375,7 @@
         m_session = nullptr;
         if (m_connection.get() != nullptr) {
             // This function may have been called from the connection's own code, so the connection is destroyed later.
-            m_tasks.add(m_io.provider->getTimer().afterDelay(reconnectDelay).attach(kj::mv(m_connection)));
+            m_tasks.add(m_io.provider->getTimer().afterDelay(destroyDelay).attach(kj::mv(m_connection)));
         }
     }
 
@@ -388,7 +388,7 @@
     std::string m_peerName;
     std::uint64_t m_peerIncarnation = 0;
     State m_state = State::Idle;
-    std::uint64_t m_generation = 0;
+    std::uint64_t m_generation = 0; ///< number of the present connection; grows when it is closed
     unsigned int m_inFlight = 0;
     std::vector<Message> m_queue;
     kj::Own<OpenedConnection> m_connection;
@@ -510,8 +510,8 @@
             commands.swap(m_commands);
         }
         for (Command &command : commands) {
-            if (const auto *endCall = std::get_if<EndCall>(&command)) {
-                calls.finish(endCall->token);
+            if (const auto *returnCall = std::get_if<ReturnCall>(&command)) {
+                calls.returnCall(returnCall->token);
                 continue;
             }
             auto &outgoing = std::get<Outgoing>(command);
@@ -556,7 +556,7 @@
 
 void Edge::markHandled(std::uint64_t token)
 {
-    m_implementation->enqueue(EndCall {token});
+    m_implementation->enqueue(ReturnCall {token});
 }
 
 std::uint16_t Edge::port() const
--- a/Source/Peer/edge.h
+++ b/Source/Peer/edge.h
@@ -21,7 +21,7 @@
 
 namespace Yokepond::Peer {
 
-/// Messages that a peer sent, in its order.
+/// Messages from one peer, in the order in which it sent them.
 struct MessagesReceived
 {
     std::string from;
@@ -30,7 +30,8 @@
     std::uint64_t token = 0; ///< to be passed to Edge::markHandled() afterwards; 0 if that is not needed
 };
 
-/// Messages to a peer may have been lost, because the connection broke, could not be made, or the peer's queue overflowed.
+/// Messages to a peer may have been lost, because the connection broke or could not be made, or too many messages were queued
+/// for the peer.
 struct MessagesLost
 {
     std::string address; ///< ip:port
@@ -46,7 +47,7 @@
     std::uint64_t incarnation = 0;
 };
 
-/// Counters by kind of traffic. One thread writes them, any thread may read them.
+/// Counters by category of messages. One thread writes them, any thread may read them.
 using TrafficCounts = std::array<std::atomic<std::uint64_t>, trafficNames.size()>;
 
 /// Sends messages to other hosts and receives theirs. Each message arrives at most once, and those for one peer arrive in order.
@@ -54,7 +55,7 @@
 class Edge
 {
 public:
-    /// Takes an event on the edge's thread, where it must only be queued.
+    /// Called with each event on the edge's thread. It must only queue the event, so that it does not delay the thread.
     using Handler = std::function<void(Event)>;
 
     /// Listens and starts the thread. Fails with ErrorKind::InvalidSettings if it cannot listen on the address.
@@ -67,8 +68,8 @@
     /// Queues @p message for the host listening on @p address (ip:port); callable from any thread.
     void send(std::string address, Message message);
 
-    /// Ends the RPC call that brought the messages with @p token. Messages that were sent to that peer since then go back as the
-    /// call's result, which saves a call in the other direction. Callable from any thread.
+    /// Returns the RPC call that brought the messages with @p token. Messages that send() got for that peer while the call was
+    /// open go back as the call's result, which saves a call in the other direction. Callable from any thread.
     void markHandled(std::uint64_t token);
 
     /// Returns the port that the edge listens on.
@@ -77,8 +78,8 @@
     const LinkCounters &counters() const;
     const TrafficCounts &sentMessages() const;
 
-    /// Returns the size of the encoded messages by kind, before packing and without RPC framing. It serves to divide
-    /// counters().bytesSent among the kinds.
+    /// Returns the size of the encoded messages by category, before packing and without RPC framing. It serves to divide
+    /// counters().bytesSent among the categories.
     const TrafficCounts &sentBytes() const;
 
     /// Returns the processor time that the edge's thread has used.
--- a/Source/Peer/message.h
+++ b/Source/Peer/message.h
@@ -3,6 +3,13 @@
 
 /// @file
 /// The messages between hosts as plain types. peer.capnp defines their form on the wire, codec.h converts between the two.
+///
+/// Terms: The home of a request is the host that accepted it from the caller; only the home may start it. A shard is a group of
+/// endpoints of one pool in one data centre. The shard's dispatcher is the host that queues the homes' asks and grants endpoints.
+/// A permit is a grant that has not been released yet. A keeper is an endpoint that caches a prefix of a prompt. The work of a
+/// request is what it asks for, identified by a hash; requests with the same content are the same work. A ticket is a caller's
+/// key for an operation that names the home of its request. The store is the table service of the platform that manages the
+/// endpoints; to follow the store is to read its change feed and to pass the changes on to the other hosts.
 
 #pragma once
 
@@ -108,17 +115,16 @@
     std::uint32_t shard = 0;
 };
 
-/// How a run ended, as its home saw it. EndpointReplaced: another endpoint has the address by now and did not process the
-/// request.
+/// How a run ended, as its home saw it.
 enum class RunResult : std::uint8_t {
     Completed,
-    NotStarted,
-    Failed,
-    Unreachable,
-    Cancelled,
-    Rejected,
-    ErrorResponse,
-    EndpointReplaced
+    NotStarted, ///< the home did not use the grant, for example because its start time had passed
+    Failed, ///< the run broke off after the request was sent
+    Unreachable, ///< no byte of the request can have reached the endpoint
+    Cancelled, ///< the caller disconnected, or the home stopped the run
+    Rejected, ///< the endpoint reported that it did not process the request
+    ErrorResponse, ///< the response had an error status
+    EndpointReplaced ///< another endpoint has the address by now and did not process the request
 };
 
 inline constexpr Base::NameTable<RunResult, 8> runResultNames = {{
@@ -132,7 +138,7 @@
     {RunResult::EndpointReplaced, "gone"},
 }};
 
-/// Returns a permit with the home's measurements of the run.
+/// Gives a permit back to the dispatcher, with the home's measurements of the run.
 struct Release
 {
     AttemptId id;
@@ -184,7 +190,7 @@
     bool operator==(const Member &) const = default;
 };
 
-/// Requests an acknowledgement. Both messages carry recent changes of the membership.
+/// Checks that a member is alive, which replies with an Acknowledgement. Carries recent changes of the membership.
 struct Probe
 {
     std::uint32_t sequence = 0;
@@ -194,6 +200,7 @@
     std::string target; ///< member to probe on the sender's behalf; empty for a probe of the receiver
 };
 
+/// Reply to Probe. Carries recent changes of the membership, too.
 struct Acknowledgement
 {
     std::uint32_t sequence = 0;
@@ -207,21 +214,21 @@
 struct ChangesRequest
 {
     std::uint64_t since = 0; ///< revision of the sender's configuration
-    std::uint64_t endpointsSince = 0; ///< revision of its endpoints, where they have revisions of their own
-    bool endpointsOnly = false; ///< the sender has requested the configuration from another host
+    std::uint64_t endpointsSince = 0; ///< revision of its endpoint records; used only if the records come from a platform
+    bool endpointsOnly = false; ///< the reply should omit the configuration, which the sender requested from another host
 };
 
-/// Reply to ChangesRequest.
+/// Reply to ChangesRequest. If the configuration comes from a platform, only packed and base are set, otherwise snapshot or log.
 struct Changes
 {
     std::string snapshot; ///< the configuration as JSON; empty unless the log does not reach back far enough
     std::vector<std::string> log; ///< JSON change records in order
-    std::string packed; ///< a platform's records, compressed; see Configuration/changescodec.h
-    std::uint64_t base = 0; ///< version of the configuration that packed is compressed against; 0 for none
+    std::string packed; ///< the platform's records, compressed; see Configuration/changescodec.h
+    std::uint64_t base = 0; ///< revision of the configuration that packed is compressed against; 0 for none
 };
 
-/// Asks the receiver to follow the platform's store for a while, because the store does not answer the sender, which has that
-/// duty.
+/// Asks the receiver to follow the platform's store for a while. The sender has the duty of following it, but the store does not
+/// answer the sender.
 struct FollowStore
 {
 };
@@ -296,8 +303,8 @@
     bool holder = false; ///< whether the sender is the host that reports usage
 };
 
-/// Reports a run whose connection broke before its response was complete. It goes to the hosts that count the crashes of the
-/// run's work.
+/// Reports a run whose connection broke before its response was complete, which may mean that the request crashed the endpoint.
+/// It is sent to the hosts that count such crashes for the work of the request.
 struct RunBroke
 {
     std::uint64_t work = 0; ///< hash of what the request asks for, see Request::NewRequest
@@ -305,7 +312,7 @@
     bool justBegan = false; ///< the response had only just begun, or is not streamed and does not show when it begins
 };
 
-/// State of work whose runs ended in crashes of their endpoints.
+/// State of work that crashed endpoints.
 struct QuarantineEntry
 {
     std::uint64_t work = 0;
@@ -325,7 +332,7 @@
                              Changes, Gather, Gathered, Forward, Forwarded, Queued, UsageCounts, UsageReceived, RunBroke,
                              QuarantineUpdate, EndpointUpdate, FollowStore, FollowAnswer>;
 
-/// Purpose of a message; messages and bytes are counted separately for each.
+/// Category of a message. Messages and bytes are counted for each category.
 enum class Traffic { Dispatch, Membership, Configuration, Query, Forwarding, Usage };
 
 inline constexpr Base::NameTable<Traffic, 6> trafficNames = {{
@@ -337,7 +344,7 @@
     {Traffic::Usage, "usage"},
 }};
 
-/// Returns the kind of traffic that @p message belongs to.
+/// Returns the category of @p message.
 Traffic trafficOf(const Message &message);
 
 } // namespace Yokepond::Peer
--- a/Source/Scaling/scaler.cpp
+++ b/Source/Scaling/scaler.cpp
@@ -25,7 +25,7 @@
 
 /// The baselines are complete when they have not grown for this long: the records of all endpoints have arrived by then.
 constexpr Duration baselineSettleTime = std::chrono::milliseconds(1500);
-/// An order is repeated if the number of endpoints is not as ordered this long after they should serve.
+/// An order is repeated this long after its endpoints should serve, if their number still differs from the ordered one.
 constexpr Duration repeatDelay = std::chrono::seconds(6);
 /// Minimum time between orders that give up endpoints while requests run. Only one data centre is reduced at a time, because the
 /// prompt prefixes that its endpoints cache are lost.
@@ -57,6 +57,7 @@
     for (const PoolBaseline &baseline : row.baselines) {
         baselines.push_back({{"pool", baseline.pool}, {"endpoints", baseline.endpoints}});
     }
+    // The stored name of the baselines is "bases".
     const Json json = {{"holder", row.holder}, {"host", row.host}, {"bases", std::move(baselines)}};
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
@@ -125,7 +126,7 @@
                 continue;
             }
             const bool shrink = order.count < current;
-            const bool mayShrink = idle || (!shrinks && now - m_lastShrink >= shrinkInterval);
+            const bool mayShrink = idle || (!shrinks && now - m_lastRegularOrder >= shrinkInterval);
             if (!shrink || mayShrink) {
                 shrinks = shrinks || shrink;
                 due.push_back(order);
@@ -169,8 +170,8 @@
     }
     m_neededSince = m_neededSince.value_or(now);
     const Duration takeOverDelay = takeOverAfter + static_cast<std::int64_t>(rank.value_or(0)) * takeOverStep;
-    const bool unclaimed = m_lease.expectedVersion() == 0 && rank == std::optional<std::size_t>(0);
-    if (!m_lease.isHeld() && !unclaimed && now - *m_neededSince < takeOverDelay) {
+    const bool mayClaimAtOnce = m_lease.expectedVersion() == 0 && rank == std::optional<std::size_t>(0);
+    if (!m_lease.isHeld() && !mayClaimAtOnce && now - *m_neededSince < takeOverDelay) {
         return {};
     }
     std::optional<ScalerAction> action;
@@ -251,16 +252,16 @@
         m_nextAttempt = now + retryPeriod;
         return;
     }
-    // Regular endpoints that are given up make room below the pool's limit. The preemptible ones that the limit cut off are
-    // therefore ordered again at once.
+    // Giving up regular endpoints makes room below the pool's limit, which counts both kinds. The order for preemptible ones in
+    // that data centre, of which the limit may have allowed only a part, is forgotten, so that it may be sent again at once.
     std::erase_if(m_sent, [&](const SentOrder &entry) {
-        const bool hasRoomNow
+        const bool mayHaveRoomNow
             = !order.preemptible && entry.order.pool == order.pool && entry.order.dataCentre == order.dataCentre;
-        return isSameTarget(entry.order, order) || hasRoomNow;
+        return isSameTarget(entry.order, order) || mayHaveRoomNow;
     });
     m_sent.push_back({order, now});
     if (!order.preemptible) {
-        m_lastShrink = now;
+        m_lastRegularOrder = now;
     }
 }
 
--- a/Source/Scaling/scaler.h
+++ b/Source/Scaling/scaler.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Decides when a host takes over the duty of ordering endpoints, and which orders it sends.
+/// Decides when a host takes over the duty of scaling pools, and which orders for endpoints it sends to the platform.
 
 #pragma once
 
@@ -88,7 +88,7 @@
     std::uint64_t fence = 0; ///< fencing token; 0 if the lease has expired
     std::string host; ///< last writer of the row, as far as this host knows
     std::vector<PoolBaseline> baselines;
-    std::vector<Order> orders; ///< latest order for each data centre and kind
+    std::vector<Order> orders; ///< latest order for each pool, data centre and kind
 };
 
 struct ScalerOptions
@@ -104,8 +104,8 @@
 public:
     Scaler(const ScalerOptions &options, std::string host, std::uint64_t incarnation);
 
-    /// Returns the actions that are due. @p rank is the number of hosts that come before this one for the duty, or nothing if it
-    /// must not take it. @p idle is true if no request has begun recently.
+    /// Returns the actions that are due. @p rank is this host's position in the order of candidates for the duty, 0 for the
+    /// first; it is empty if this host must not take the duty. @p idle is true if no request has begun recently.
     std::vector<ScalerAction> tick(Base::Instant now, std::optional<std::size_t> rank, const std::vector<ScaledPool> &pools,
                                    bool idle);
 
@@ -144,9 +144,9 @@
     bool m_rowHasBaselines = false;
     std::vector<PoolBaseline> m_baselines;
     Base::Instant m_baselinesGrewAt {};
-    std::vector<SentOrder> m_sent; ///< latest order for each data centre and kind
-    std::optional<Base::Instant> m_neededSince; ///< first time at which orders were needed
-    Base::Instant m_lastShrink {};
+    std::vector<SentOrder> m_sent; ///< latest order for each pool, data centre and kind; in a dry run the logged ones
+    std::optional<Base::Instant> m_neededSince; ///< start of the present time in which orders are needed
+    Base::Instant m_lastRegularOrder {}; ///< time of the last order for regular endpoints, which usually gives some up
     Base::Instant m_nextRead {};
     Base::Instant m_nextAttempt {}; ///< earliest time for an action after a failed one
     bool m_busy = false; ///< an action is under way
--- a/Source/Scaling/scalingplan.h
+++ b/Source/Scaling/scalingplan.h
@@ -32,7 +32,8 @@
     std::vector<DataCentreCounts> counts; ///< one entry for each data centre that has a price
 };
 
-/// Asks the platform for @ref count endpoints of one kind in one data centre. The count is absolute.
+/// Request to the platform to change the number of endpoints of one kind in one data centre to @ref count, which may be more or
+/// fewer than now.
 struct Order
 {
     std::string pool;
--- a/Source/Usage/usagereporter.cpp
+++ b/Source/Usage/usagereporter.cpp
@@ -22,12 +22,14 @@
 /// that comes before it.
 constexpr Duration takeOverAfter = std::chrono::milliseconds(1000);
 constexpr Duration takeOverStep = std::chrono::milliseconds(1200);
-/// Minimum time between two reads of the row while the former holder's lease may last; it keeps the number of calls low.
+/// Minimum time between two reads of the row, which limits the number of calls while the former holder's lease may still be
+/// valid.
 constexpr Duration readPeriod = std::chrono::milliseconds(1000);
 constexpr Duration retryPeriod = std::chrono::milliseconds(700);
 /// A report is not sent if the lease allows less time than this.
 constexpr Duration minReportTimeout = std::chrono::milliseconds(500);
-/// Number of windows that a new holder fixes at once. Older ones are past the time by which they had to be reported.
+/// Number of the latest windows that a new holder fixes at once, and reports again if another process fixed them. Older ones are
+/// past the time by which they had to be reported.
 constexpr WindowNumber maxCatchUpWindows = 3;
 
 } // namespace
@@ -54,7 +56,7 @@
 
 bool UsageReporter::hasUnreported() const
 {
-    return std::ranges::any_of(m_pending, [](const Pending &pending) { return !pending.reported; });
+    return std::ranges::any_of(m_rowWindows, [](const RowWindow &entry) { return !entry.reported; });
 }
 
 std::vector<ReporterAction> UsageReporter::tick(Instant now, FleetTime time, std::optional<std::size_t> rank,
@@ -91,8 +93,8 @@
 {
     const auto fence = m_lease.fence(now);
     const Duration timeout = m_lease.remainingTime(now);
-    const auto next = std::ranges::find_if(m_pending, [](const Pending &pending) { return !pending.reported; });
-    if (!fence || timeout < minReportTimeout || next == m_pending.end()) {
+    const auto next = std::ranges::find_if(m_rowWindows, [](const RowWindow &entry) { return !entry.reported; });
+    if (!fence || timeout < minReportTimeout || next == m_rowWindows.end()) {
         return std::nullopt;
     }
     return ReportUsage {*fence, next->fixed, timeout};
@@ -103,7 +105,7 @@
 {
     const WindowNumber newest = newestDueWindow(time);
     UsageRow row {m_incarnation, m_host, {}};
-    std::ranges::transform(m_pending, std::back_inserter(row.windows), &Pending::fixed);
+    std::ranges::transform(m_rowWindows, std::back_inserter(row.windows), &RowWindow::fixed);
     for (WindowNumber window = std::max(m_fixedUpTo + 1, newest - maxCatchUpWindows + 1); window <= newest; ++window) {
         row.windows.push_back({window, counts.total(window)});
     }
@@ -120,7 +122,7 @@
 {
     auto row = result.version == 0 ? absl::StatusOr<UsageRow>(UsageRow {}) : parseRow(result.value);
     if (!row.ok()) {
-        // The process that wrote the row still holds the duty.
+        // The row counts as that of another holder, whose lease must expire before this host takes the duty.
         Base::log(Base::LogLevel::Error, Base::LogEvent::DutyRowUnreadable,
                   {{"duty", "usage"}, {"reason", Base::messageOf(row.status())}});
         row = UsageRow {};
@@ -128,28 +130,29 @@
     m_lease.updateRow(now, {result.version, row->holder});
     m_rowHost = row->host;
     if (!row->windows.empty()) {
-        // This may be older than the start of this process: the windows from there on have yet to be fixed.
+        // The newest window of the row may have ended before this process started. The windows after it have yet to be fixed.
         m_fixedUpTo = std::max(m_othersFixedUpTo, row->windows.back().window);
     }
-    replacePending(std::move(row->windows));
+    replaceRowWindows(std::move(row->windows));
     if (std::exchange(m_wasHolder, m_lease.isHeld()) && !m_wasHolder) {
         Base::log(Base::LogLevel::Warning, Base::LogEvent::LeaseLost,
                   {{"duty", "usage"}, {"version", result.version}, {"to", m_rowHost}});
     }
 }
 
-/// Replaces the pending windows by @p windows, those of the row. Windows that another process fixed count as reported unless they
-/// are among the latest, which may have to be reported again.
-void UsageReporter::replacePending(std::vector<FixedWindow> windows)
+/// Takes @p windows as the windows of the row. Windows that another process fixed count as reported unless they are among the
+/// latest, which may have to be reported again.
+void UsageReporter::replaceRowWindows(std::vector<FixedWindow> windows)
 {
     const WindowNumber newest = windows.empty() ? 0 : windows.back().window;
-    std::vector<Pending> pending;
+    std::vector<RowWindow> rowWindows;
     for (FixedWindow &fixed : windows) {
-        const auto known = std::ranges::find(m_pending, fixed.window, [](const Pending &entry) { return entry.fixed.window; });
-        const bool reported = known != m_pending.end() ? known->reported : fixed.window + maxCatchUpWindows <= newest;
-        pending.push_back({std::move(fixed), reported});
+        const auto known
+            = std::ranges::find(m_rowWindows, fixed.window, [](const RowWindow &entry) { return entry.fixed.window; });
+        const bool reported = known != m_rowWindows.end() ? known->reported : fixed.window + maxCatchUpWindows <= newest;
+        rowWindows.push_back({std::move(fixed), reported});
     }
-    m_pending = std::move(pending);
+    m_rowWindows = std::move(rowWindows);
 }
 
 void UsageReporter::onRowRead(Instant now, const std::optional<Lease::StoredRow> &row)
@@ -175,7 +178,7 @@
     }
     m_rowHost = m_host;
     m_fixedUpTo = m_written.empty() ? m_fixedUpTo : std::max(m_fixedUpTo, m_written.back().window);
-    replacePending(std::move(m_written));
+    replaceRowWindows(std::move(m_written));
     if (!std::exchange(m_wasHolder, true)) {
         Base::log(Base::LogLevel::Info, Base::LogEvent::LeaseTaken,
                   {{"duty", "usage"}, {"fence", m_lease.fence(now).value_or(version)}, {"version", version}});
@@ -185,13 +188,13 @@
 void UsageReporter::onReported(Instant now, WindowNumber window, ReportResult result)
 {
     m_busy = false;
-    const auto pending = std::ranges::find(m_pending, window, [](const Pending &entry) { return entry.fixed.window; });
+    const auto entry = std::ranges::find(m_rowWindows, window, [](const RowWindow &candidate) { return candidate.fixed.window; });
     if (result == ReportResult::TryAgain) {
         m_nextAttempt = now + retryPeriod;
         return;
     }
-    if (pending != m_pending.end()) {
-        pending->reported = true;
+    if (entry != m_rowWindows.end()) {
+        entry->reported = true;
     }
     m_reportedUpTo = std::max(m_reportedUpTo, window);
 }
@@ -220,7 +223,7 @@
     view.host = m_rowHost;
     view.fixedUpTo = m_fixedUpTo;
     view.reportedUpTo = m_reportedUpTo;
-    view.unreported = view.holder ? static_cast<std::size_t>(std::ranges::count(m_pending, false, &Pending::reported)) : 0;
+    view.unreported = view.holder ? static_cast<std::size_t>(std::ranges::count(m_rowWindows, false, &RowWindow::reported)) : 0;
     return view;
 }
 
--- a/Source/Usage/usagereporter.h
+++ b/Source/Usage/usagereporter.h
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Decides when a host takes over the duty of reporting usage, which windows it fixes and when it reports them.
+/// Decides when a host takes over the duty of reporting usage, when it fixes windows and when it reports them. To fix a window is
+/// to make its counts final by writing them to the store.
 
 #pragma once
 
@@ -20,8 +21,8 @@
 struct ReporterOptions
 {
     Base::Duration window = std::chrono::seconds(5); ///< length of a window
-    /// Delay after a window's end until all hosts' counts have arrived. Hosts send them each second, and a request without a
-    /// stream is counted when its response is complete.
+    /// Time from the end of a window until it is fixed. It should suffice for the counts of all hosts to arrive: hosts send them
+    /// each second, and a request whose response is not streamed is counted when the response is complete.
     Base::Duration fixAfter = std::chrono::milliseconds(2200);
     Lease::LeaseOptions lease;
 };
@@ -63,7 +64,7 @@
     std::string host; ///< last writer of the row, as far as this host knows
     WindowNumber fixedUpTo = 0; ///< newest fixed window
     WindowNumber reportedUpTo = 0; ///< newest window whose report the platform has accepted or rejected
-    std::size_t unreported = 0; ///< fixed windows that the platform has not accepted yet
+    std::size_t unreported = 0; ///< fixed windows that have yet to be reported; 0 if this host does not hold the duty
 };
 
 /// Decides for one host whether it holds the reporting duty, and what it writes and reports. The counts of a window are fixed in
@@ -73,11 +74,11 @@
 class UsageReporter
 {
 public:
-    /// @p start is the time at which the process started. It does not fix windows that ended earlier.
+    /// @p start is the time at which the process started. The reporter does not fix windows that ended before.
     UsageReporter(const ReporterOptions &options, std::string host, std::uint64_t incarnation, FleetTime start);
 
-    /// Returns the actions that are due. @p rank is the number of hosts that come before this one for the duty, or nothing if it
-    /// must not take it. @p counts are those of all hosts.
+    /// Returns the actions that are due. @p rank is this host's position in the order of candidates for the duty, 0 for the
+    /// first; it is empty if this host must not take the duty. @p counts are those of all hosts.
     std::vector<ReporterAction> tick(Base::Instant now, FleetTime time, std::optional<std::size_t> rank,
                                      const FleetCounts &counts);
 
@@ -99,7 +100,8 @@
     ReporterView view(Base::Instant now) const;
 
 private:
-    struct Pending
+    /// A window of the row.
+    struct RowWindow
     {
         FixedWindow fixed;
         bool reported = false;
@@ -108,7 +110,7 @@
     WindowNumber newestDueWindow(FleetTime time) const;
     bool isOverdue(FleetTime time, std::size_t rank) const;
     void applyRow(Base::Instant now, const Lease::StoredRow &row);
-    void replacePending(std::vector<FixedWindow> windows);
+    void replaceRowWindows(std::vector<FixedWindow> windows);
     std::optional<ReporterAction> write(Base::Instant now, FleetTime time, const FleetCounts &counts);
     std::optional<ReporterAction> report(Base::Instant now);
     bool hasUnreported() const;
@@ -120,7 +122,7 @@
     WindowNumber m_fixedUpTo; ///< newest window that is fixed in the store or ended before this process started
     WindowNumber m_othersFixedUpTo = 0; ///< newest window that other holders have announced as fixed
     WindowNumber m_reportedUpTo = 0;
-    std::vector<Pending> m_pending; ///< windows of the row, as this host last saw it
+    std::vector<RowWindow> m_rowWindows; ///< windows of the row, as this host last saw it
     std::vector<FixedWindow> m_written; ///< windows in the write that is under way
     std::string m_rowHost;
     bool m_busy = false; ///< an action is under way
