--- a/Source/FaultProxy/link.cpp
+++ b/Source/FaultProxy/link.cpp
@@ -11,18 +11,18 @@
 namespace {
 
 constexpr std::size_t readBytes = 16U << 10U;
-constexpr std::size_t mostHeldChunks = 4096;
+constexpr std::size_t maxBufferedChunks = 4096;
 
 } // namespace
 
-Pipe::Pipe(Base::Loop &loop, Link &link, bool forward, ACE_SOCK_Stream &from, ACE_SOCK_Stream &to)
+Pipe::Pipe(Base::Loop &loop, Link &link, bool forward, ACE_SOCK_Stream &source, ACE_SOCK_Stream &destination)
     : m_loop(loop)
     , m_link(link)
     , m_forward(forward)
-    , m_from(from)
-    , m_to(to)
+    , m_source(source)
+    , m_destination(destination)
 {
-    m_from.enable(ACE_NONBLOCK);
+    m_source.enable(ACE_NONBLOCK);
     m_registered = loop.reactor().register_handler(this, ACE_Event_Handler::READ_MASK) == 0;
 }
 
@@ -35,58 +35,58 @@
 
 ACE_HANDLE Pipe::get_handle() const
 {
-    return m_from.get_handle();
+    return m_source.get_handle();
 }
 
 int Pipe::handle_input(ACE_HANDLE)
 {
     std::array<char, readBytes> buffer {};
-    const ssize_t got = m_from.recv(buffer.data(), buffer.size());
-    if (got < 0 && errno == EWOULDBLOCK) {
+    const ssize_t received = m_source.recv(buffer.data(), buffer.size());
+    if (received < 0 && errno == EWOULDBLOCK) {
         return 0;
     }
-    if (got <= 0) {
-        m_ended = true;
+    if (received <= 0) {
+        m_sourceEnded = true;
         m_registered = false;
         m_loop.reactor().remove_handler(this, ACE_Event_Handler::READ_MASK | ACE_Event_Handler::DONT_CALL);
         return 0;
     }
     const Faults &faults = m_link.faults();
-    const bool vanishes = m_forward ? faults.blackholeForward : faults.blackholeBackward;
-    if (!vanishes && m_chunks.size() < mostHeldChunks) {
-        m_chunks.push_back({Base::now() + faults.delay, std::string(buffer.data(), static_cast<std::size_t>(got))});
-        if (!flush(Base::now())) {
+    const bool discarded = m_forward ? faults.blackholeForward : faults.blackholeBackward;
+    if (!discarded && m_chunks.size() < maxBufferedChunks) {
+        m_chunks.push_back({Base::now() + faults.delay, std::string(buffer.data(), static_cast<std::size_t>(received))});
+        if (!writeDue(Base::now())) {
             m_link.close();
         }
     }
     return 0;
 }
 
-bool Pipe::flush(Base::Instant now)
+bool Pipe::writeDue(Base::Instant now)
 {
     const Faults &faults = m_link.faults();
-    const double passed = m_lastFlush == Base::Instant {} ? 0 : Base::seconds(now - m_lastFlush);
-    m_lastFlush = now;
-    m_allowance = std::min<double>(m_allowance + passed * static_cast<double>(faults.bytesPerSecond),
-                                   static_cast<double>(faults.bytesPerSecond));
+    const double elapsed = m_lastWrite == Base::Instant {} ? 0 : Base::seconds(now - m_lastWrite);
+    m_lastWrite = now;
+    m_byteAllowance = std::min<double>(m_byteAllowance + elapsed * static_cast<double>(faults.bytesPerSecond),
+                                       static_cast<double>(faults.bytesPerSecond));
     const std::int64_t cutAfter = m_forward ? faults.cutAfterForward : faults.cutAfterBackward;
     while (!m_chunks.empty() && m_chunks.front().due <= now) {
         std::string &bytes = m_chunks.front().bytes;
         std::size_t size = bytes.size();
         if (faults.bytesPerSecond > 0) {
-            size = std::min(size, static_cast<std::size_t>(m_allowance));
+            size = std::min(size, static_cast<std::size_t>(m_byteAllowance));
         }
         if (cutAfter >= 0) {
-            size = std::min(size, static_cast<std::size_t>(std::max<std::int64_t>(0, cutAfter - m_passed)));
+            size = std::min(size, static_cast<std::size_t>(std::max<std::int64_t>(0, cutAfter - m_bytesWritten)));
         }
-        const ssize_t sent = size == 0 ? 0 : m_to.send(bytes.data(), size, MSG_NOSIGNAL | MSG_DONTWAIT);
+        const ssize_t sent = size == 0 ? 0 : m_destination.send(bytes.data(), size, MSG_NOSIGNAL | MSG_DONTWAIT);
         if (sent < 0) {
             return errno == EWOULDBLOCK;
         }
-        m_passed += sent;
-        m_allowance -= static_cast<double>(sent);
+        m_bytesWritten += sent;
+        m_byteAllowance -= static_cast<double>(sent);
         bytes.erase(0, static_cast<std::size_t>(sent));
-        if (cutAfter >= 0 && m_passed >= cutAfter) {
+        if (cutAfter >= 0 && m_bytesWritten >= cutAfter) {
             return false;
         }
         if (!bytes.empty()) {
@@ -94,19 +94,19 @@
         }
         m_chunks.pop_front();
     }
-    if (m_ended && m_chunks.empty()) {
-        m_to.close_writer();
+    if (m_sourceEnded && m_chunks.empty()) {
+        m_destination.close_writer();
         return false;
     }
     return true;
 }
 
-Link::Link(Base::Loop &loop, const Faults &faults, const ACE_SOCK_Stream &caller, const ACE_SOCK_Stream &target)
+Link::Link(Base::Loop &loop, const Faults &faults, const ACE_SOCK_Stream &client, const ACE_SOCK_Stream &target)
     : m_faults(faults)
-    , m_caller(caller)
+    , m_client(client)
     , m_target(target)
-    , m_forward(std::make_unique<Pipe>(loop, *this, true, m_caller, m_target))
-    , m_backward(std::make_unique<Pipe>(loop, *this, false, m_target, m_caller))
+    , m_forward(std::make_unique<Pipe>(loop, *this, true, m_client, m_target))
+    , m_backward(std::make_unique<Pipe>(loop, *this, false, m_target, m_client))
 {
 }
 
@@ -114,7 +114,7 @@
 {
     m_forward.reset();
     m_backward.reset();
-    m_caller.close();
+    m_client.close();
     m_target.close();
 }
 
@@ -125,12 +125,12 @@
 
 void Link::close()
 {
-    m_closed = true;
+    m_closeRequested = true;
 }
 
 bool Link::tick(Base::Instant now)
 {
-    if (m_closed) {
+    if (m_closeRequested) {
         return false;
     }
     if (m_faults.halfOpen) {
@@ -145,7 +145,7 @@
     if (m_targetClosed) {
         return false;
     }
-    return m_forward->flush(now) && m_backward->flush(now);
+    return m_forward->writeDue(now) && m_backward->writeDue(now);
 }
 
 } // namespace Yokepond::FaultProxy
--- a/Source/FaultProxy/link.h
+++ b/Source/FaultProxy/link.h
@@ -38,14 +38,14 @@
 class Pipe : public ACE_Event_Handler
 {
 public:
-    Pipe(Base::Loop &loop, Link &link, bool forward, ACE_SOCK_Stream &from, ACE_SOCK_Stream &to);
+    Pipe(Base::Loop &loop, Link &link, bool forward, ACE_SOCK_Stream &source, ACE_SOCK_Stream &destination);
     ~Pipe() override;
 
     ACE_HANDLE get_handle() const override;
     int handle_input(ACE_HANDLE handle) override;
 
     /// Writes what is due; returns false if the connection broke.
-    bool flush(Base::Instant now);
+    bool writeDue(Base::Instant now);
 
 private:
     struct Chunk
@@ -57,21 +57,21 @@
     Base::Loop &m_loop;
     Link &m_link;
     bool m_forward;
-    ACE_SOCK_Stream &m_from;
-    ACE_SOCK_Stream &m_to;
+    ACE_SOCK_Stream &m_source;
+    ACE_SOCK_Stream &m_destination;
     bool m_registered = false;
-    bool m_ended = false; ///< the reading side has ended
+    bool m_sourceEnded = false; ///< the reading side has ended
     std::deque<Chunk> m_chunks;
-    std::int64_t m_passed = 0;
-    double m_allowance = 0; ///< bytes that the bandwidth allows now
-    Base::Instant m_lastFlush {};
+    std::int64_t m_bytesWritten = 0;
+    double m_byteAllowance = 0; ///< bytes that the bandwidth allows now
+    Base::Instant m_lastWrite {};
 };
 
 /// A connection from a caller and the one to the target that it is joined to.
 class Link
 {
 public:
-    Link(Base::Loop &loop, const Faults &faults, const ACE_SOCK_Stream &caller, const ACE_SOCK_Stream &target);
+    Link(Base::Loop &loop, const Faults &faults, const ACE_SOCK_Stream &client, const ACE_SOCK_Stream &target);
     ~Link();
     Link(const Link &) = delete;
     Link &operator=(const Link &) = delete;
@@ -86,9 +86,9 @@
 
 private:
     const Faults &m_faults;
-    ACE_SOCK_Stream m_caller;
+    ACE_SOCK_Stream m_client;
     ACE_SOCK_Stream m_target;
-    bool m_closed = false;
+    bool m_closeRequested = false;
     bool m_targetClosed = false;
     std::unique_ptr<Pipe> m_forward;
     std::unique_ptr<Pipe> m_backward;
--- a/Source/FaultProxy/proxyprogram.cpp
+++ b/Source/FaultProxy/proxyprogram.cpp
@@ -60,7 +60,7 @@
 }
 
 /// GET / lists the routes; POST /ROUTE sets its faults, and `"cut": true` cuts its connections.
-void handle(const Routes &routes, Http::Exchange &exchange)
+void handleRequest(const Routes &routes, Http::Exchange &exchange)
 {
     const Http::Request &request = exchange.request();
     if (request.path == "/") {
@@ -68,7 +68,7 @@
         for (const auto &route : routes) {
             list.push_back({{"name", route->name()},
                             {"address", route->address().text()},
-                            {"connections", route->links()},
+                            {"connections", route->connectionCount()},
                             {"faults", faultsToJson(route->faults())}});
         }
         respond(exchange, httpOk, list);
@@ -86,7 +86,7 @@
     }
     (*route)->setFaults(faultsFromJson(body));
     if (body.value("cut", false)) {
-        (*route)->cut();
+        (*route)->closeConnections();
     }
     respond(exchange, httpOk, faultsToJson((*route)->faults()));
 }
@@ -110,7 +110,7 @@
     return route;
 }
 
-int tell(const absl::Status &error)
+int reportError(const absl::Status &error)
 {
     fmt::print(stderr, "{}: {}\n", programName, Base::messageOf(error));
     return Base::exitFailed;
@@ -121,36 +121,36 @@
 int runProxyProgram(int argc, const char *const *argv)
 {
     namespace options = boost::program_options;
-    Base::OptionDescriptions described("Options");
-    described.add_options()("control", options::value<std::string>()->default_value("127.0.0.1:0"),
-                            "address of the HTTP interface")("route", options::value<std::vector<std::string>>()->required(),
-                                                             "NAME=LISTEN=TARGET, may be given many times");
+    Base::OptionDescriptions descriptions("Options");
+    descriptions.add_options()("control", options::value<std::string>()->default_value("127.0.0.1:0"),
+                               "address of the HTTP interface")("route", options::value<std::vector<std::string>>()->required(),
+                                                                "NAME=LISTEN=TARGET, may be given many times");
     Base::OptionMap values;
     const Base::ProgramInfo info {std::string(programName), "joins TCP connections and breaks them in set ways",
                                   "--control IP:PORT --route NAME=LISTEN=TARGET...",
                                   "  yokepond-faultproxy --control 127.0.0.1:9000 --route h1=127.0.0.1:9001=127.0.0.1:8001\n"
                                   "  curl 127.0.0.1:9000/h1 -d '{\"delay-ms\": 50, \"blackhole-backward\": true}'\n"};
-    if (const auto code = Base::parseCommandLine(info, argc, argv, described, {}, values)) {
+    if (const auto code = Base::parseCommandLine(info, argc, argv, descriptions, {}, values)) {
         return *code;
     }
     const auto control = Base::parseAddress(values["control"].as<std::string>());
     if (!control.ok()) {
-        return tell(control.status());
+        return reportError(control.status());
     }
     Base::Loop loop;
     Routes routes;
     for (const std::string &text : values["route"].as<std::vector<std::string>>()) {
         auto route = makeRoute(loop, text);
         if (!route.ok()) {
-            return tell(route.status());
+            return reportError(route.status());
         }
         routes.push_back(std::move(*route));
     }
     const auto server = Http::Server::listen(
-        loop, *control, {}, [&routes](const std::shared_ptr<Http::Exchange> &exchange) { handle(routes, *exchange); },
+        loop, *control, {}, [&routes](const std::shared_ptr<Http::Exchange> &exchange) { handleRequest(routes, *exchange); },
         [](const absl::Status &error) { return Base::messageOf(error); });
     if (!server.ok()) {
-        return tell(server.status());
+        return reportError(server.status());
     }
     const auto timer = loop.every(tickPeriod, [&routes] {
         const Base::Instant now = Base::now();
--- a/Source/FaultProxy/route.cpp
+++ b/Source/FaultProxy/route.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-ACE_INET_Addr toAce(const Base::Address &address)
+ACE_INET_Addr toAceAddress(const Base::Address &address)
 {
     return ACE_INET_Addr(address.port, address.ip.c_str());
 }
 
-constexpr int connectSeconds = 1;
+constexpr int connectTimeoutSeconds = 1;
 
 } // namespace
 
@@ -43,7 +43,7 @@
 
 absl::Status Route::listen(const Base::Address &address)
 {
-    if (m_acceptor.open(toAce(address), 1) != 0) {
+    if (m_acceptor.open(toAceAddress(address), 1) != 0) {
         return makeError(Base::ErrorKind::InvalidSettings, fmt::format("cannot listen on {}", address.text()));
     }
     m_acceptor.enable(ACE_NONBLOCK);
@@ -73,12 +73,12 @@
     m_faults = faults;
 }
 
-void Route::cut()
+void Route::closeConnections()
 {
     std::ranges::for_each(m_links, [](const auto &link) { link->close(); });
 }
 
-std::size_t Route::links() const
+std::size_t Route::connectionCount() const
 {
     return m_links.size();
 }
@@ -95,26 +95,26 @@
 
 int Route::handle_input(ACE_HANDLE)
 {
-    ACE_SOCK_Stream caller;
-    if (m_acceptor.accept(caller) != 0) {
+    ACE_SOCK_Stream client;
+    if (m_acceptor.accept(client) != 0) {
         return 0;
     }
     if (m_faults.refuse) {
-        caller.close();
+        client.close();
         return 0;
     }
     ACE_SOCK_Stream target;
     ACE_SOCK_Connector connector;
-    const ACE_Time_Value timeout(connectSeconds);
+    const ACE_Time_Value timeout(connectTimeoutSeconds);
     // The target is on this machine: it answers or refuses at once.
-    if (connector.connect(target, toAce(m_target), &timeout) != 0) {
-        caller.close();
+    if (connector.connect(target, toAceAddress(m_target), &timeout) != 0) {
+        client.close();
         return 0;
     }
     int on = 1;
-    caller.set_option(IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+    client.set_option(IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     target.set_option(IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    m_links.push_back(std::make_unique<Link>(m_loop, m_faults, caller, target));
+    m_links.push_back(std::make_unique<Link>(m_loop, m_faults, client, target));
     return 0;
 }
 
--- a/Source/FaultProxy/route.h
+++ b/Source/FaultProxy/route.h
@@ -36,9 +36,9 @@
     void setFaults(const Faults &faults);
 
     /// Cuts all connections.
-    void cut();
+    void closeConnections();
 
-    std::size_t links() const;
+    std::size_t connectionCount() const;
     void tick(Base::Instant now);
 
     ACE_HANDLE get_handle() const override;
--- a/Source/Standin/common.cpp
+++ b/Source/Standin/common.cpp
@@ -16,16 +16,16 @@
 
 namespace {
 
-nlohmann::json recordToJson(const RunRecord &record)
+nlohmann::json runToJson(const RunRecord &record)
 {
-    return {{"key", record.key}, {"request", record.request}, {"path", record.path}, {"state", record.state}};
+    return {{"key", record.key}, {"request", record.requestId}, {"path", record.path}, {"state", record.state}};
 }
 
 } // namespace
 
-void addCommonOptions(Base::OptionDescriptions &described)
+void addCommonOptions(Base::OptionDescriptions &descriptions)
 {
-    described.add_options()("name", options::value<std::string>()->default_value("standin"), "name in logs")(
+    descriptions.add_options()("name", options::value<std::string>()->default_value("standin"), "name in logs")(
         "listen", options::value<std::string>()->default_value("127.0.0.1:0"),
         "address ip:port")("seed", options::value<std::uint64_t>()->default_value(1), "seed of all random choices")(
         "speed", options::value<double>()->default_value(1), "how much faster than real time")(
@@ -46,15 +46,18 @@
                           values["run-log"].as<std::string>()};
 }
 
-void respondJson(const std::shared_ptr<Http::Exchange> &exchange, int status, const nlohmann::json &body, Http::Headers more)
+void respondJson(const std::shared_ptr<Http::Exchange> &exchange, int status, const nlohmann::json &body,
+                 Http::Headers extraHeaders)
 {
-    more.push_back({"content-type", std::string(Http::jsonType)});
-    exchange->respond({status, std::move(more), body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n"});
+    extraHeaders.push_back({"content-type", std::string(Http::jsonType)});
+    exchange->respond(
+        {status, std::move(extraHeaders), body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n"});
 }
 
-void respondError(const std::shared_ptr<Http::Exchange> &exchange, int status, const std::string &message, Http::Headers more)
+void respondError(const std::shared_ptr<Http::Exchange> &exchange, int status, const std::string &message,
+                  Http::Headers extraHeaders)
 {
-    respondJson(exchange, status, {{"error", {{"message", message}}}}, std::move(more));
+    respondJson(exchange, status, {{"error", {{"message", message}}}}, std::move(extraHeaders));
 }
 
 RunLog::RunLog(const std::string &file)
@@ -64,10 +67,10 @@
     }
 }
 
-std::size_t RunLog::started(RunRecord record)
+std::size_t RunLog::recordStart(RunRecord record)
 {
     if (m_file.is_open()) {
-        m_file << recordToJson(record).dump() << std::endl;
+        m_file << runToJson(record).dump() << std::endl;
     }
     m_runs.push_back(std::move(record));
     return m_runs.size() - 1;
@@ -82,12 +85,12 @@
 {
     nlohmann::json list = nlohmann::json::array();
     for (const RunRecord &record : m_runs) {
-        list.push_back(recordToJson(record));
+        list.push_back(runToJson(record));
     }
     return list;
 }
 
-std::optional<nlohmann::json> readFaults(const std::shared_ptr<Http::Exchange> &exchange)
+std::optional<nlohmann::json> readFaultsOrCrash(const std::shared_ptr<Http::Exchange> &exchange)
 {
     constexpr int httpBadRequest = 400;
     nlohmann::json body = nlohmann::json::parse(exchange->request().body, nullptr, false);
@@ -108,7 +111,7 @@
     return Base::exitOk;
 }
 
-int tellError(const std::string &program, const absl::Status &error)
+int reportError(const std::string &program, const absl::Status &error)
 {
     fmt::print(stderr, "{}: {}\n", program, Base::messageOf(error));
     return Base::exitFailed;
--- a/Source/Standin/common.h
+++ b/Source/Standin/common.h
@@ -33,24 +33,24 @@
 };
 
 /// Adds the common options to @p described.
-void addCommonOptions(Base::OptionDescriptions &described);
+void addCommonOptions(Base::OptionDescriptions &descriptions);
 
 /// Reads them. Fails with ErrorKind::InvalidValue.
 absl::StatusOr<CommonOptions> commonOptions(const Base::OptionMap &values);
 
 /// Answers with @p body as JSON.
 void respondJson(const std::shared_ptr<Http::Exchange> &exchange, int status, const nlohmann::json &body,
-                 Http::Headers more = {});
+                 Http::Headers extraHeaders = {});
 
 /// Answers `{"error":{"message"}}`.
 void respondError(const std::shared_ptr<Http::Exchange> &exchange, int status, const std::string &message,
-                  Http::Headers more = {});
+                  Http::Headers extraHeaders = {});
 
 /// A run as GET /runs shows it.
 struct RunRecord
 {
     std::string key;
-    std::string request;
+    std::string requestId;
     std::string path;
     std::string state;
 };
@@ -62,7 +62,7 @@
     explicit RunLog(const std::string &file);
 
     /// Records a start and returns the run's index.
-    std::size_t started(RunRecord record);
+    std::size_t recordStart(RunRecord record);
     void setState(std::size_t index, const std::string &state);
     nlohmann::json toJson() const;
 
@@ -72,28 +72,28 @@
 };
 
 /// The faults of a POST /faults, or nothing after an error answer. `"crash": true` ends the process at once.
-std::optional<nlohmann::json> readFaults(const std::shared_ptr<Http::Exchange> &exchange);
+std::optional<nlohmann::json> readFaultsOrCrash(const std::shared_ptr<Http::Exchange> &exchange);
 
 /// Runs the loop until SIGTERM.
 int runUntilStopped(Base::Loop &loop);
 
 /// Tells @p error on standard error and returns the exit code for it.
-int tellError(const std::string &program, const absl::Status &error);
+int reportError(const std::string &program, const absl::Status &error);
 
 /// Reads the command line, serves a Behaviour made with @p makeOptions(values, common options) and runs until SIGTERM. Returns
 /// the process's exit code. A Behaviour is made from a loop and its options, and has handle(exchange).
 template<typename Behaviour, typename MakeOptions>
-int runStandin(const Base::ProgramInfo &info, const Base::OptionDescriptions &described, int argc, const char *const *argv,
+int runStandin(const Base::ProgramInfo &info, const Base::OptionDescriptions &descriptions, int argc, const char *const *argv,
                MakeOptions makeOptions)
 {
     constexpr Http::ServerLimits limits {.connections = 20'000, .bodyBytes = 64U << 20U};
     Base::OptionMap values;
-    if (const auto code = Base::parseCommandLine(info, argc, argv, described, {}, values)) {
+    if (const auto code = Base::parseCommandLine(info, argc, argv, descriptions, {}, values)) {
         return *code;
     }
     const auto common = commonOptions(values);
     if (!common.ok()) {
-        return tellError(info.name, common.status());
+        return reportError(info.name, common.status());
     }
     Base::Loop loop;
     Behaviour behaviour(loop, makeOptions(values, *common));
@@ -102,7 +102,7 @@
         [&behaviour](const std::shared_ptr<Http::Exchange> &exchange) { behaviour.handle(exchange); },
         [](const absl::Status &error) { return Base::messageOf(error); });
     if (!server.ok()) {
-        return tellError(info.name, server.status());
+        return reportError(info.name, server.status());
     }
     return runUntilStopped(loop);
 }
--- a/Source/Standin/engine.cpp
+++ b/Source/Standin/engine.cpp
@@ -21,8 +21,8 @@
 
 constexpr std::uint32_t prefillTokensPerStep = 2048;
 constexpr std::uint32_t percent = 100;
-constexpr std::size_t mostCacheEvents = 1000;
-constexpr std::uint32_t lostCacheEventsPercent = 10;
+constexpr std::size_t maxCacheEvents = 1000;
+constexpr std::uint32_t droppedCacheEventPercent = 10;
 constexpr std::uint32_t bytesPerToken = 4;
 constexpr int httpOk = 200;
 constexpr int httpBadRequest = 400;
@@ -44,9 +44,9 @@
     return text;
 }
 
-std::string tokenText(std::uint64_t nonce, std::uint32_t index)
+std::string tokenText(std::uint64_t promptHash, std::uint32_t index)
 {
-    return fmt::format("{:08x}:{} ", nonce & 0xffffffffU, index);
+    return fmt::format("{:08x}:{} ", promptHash & 0xffffffffU, index);
 }
 
 } // namespace
@@ -59,7 +59,7 @@
     , m_log(m_options.common.runLog)
     , m_publishedLoad({{"running", 0}, {"waiting", 0}, {"slots", m_options.slots}})
 {
-    m_publish = loop.every(m_options.loadLag, [this] { publish(); });
+    m_publishTimer = loop.every(m_options.publishInterval, [this] { publishLoadAndCacheEvents(); });
 }
 
 void Engine::handle(const std::shared_ptr<Http::Exchange> &exchange)
@@ -67,13 +67,13 @@
     const Http::Request &request = exchange->request();
     std::string_view path = request.path;
     if (request.method == "POST" && (path == "/v1/chat/completions" || path == "/v1/completions")) {
-        begin(exchange);
+        startRun(exchange);
     } else if (Base::consumePrefix(path, "/v1/runs/") && Base::consumeSuffix(path, "/events")) {
-        resume(exchange, std::string(path));
+        resumeStream(exchange, std::string(path));
     } else if (path == "/runs") {
         respondJson(exchange, httpOk, m_log.toJson());
     } else if (path == "/counts") {
-        respondJson(exchange, httpOk, {{"tokens", m_tokens}});
+        respondJson(exchange, httpOk, {{"tokens", m_generatedTokens}});
     } else if (path == "/load") {
         respondJson(exchange, httpOk, m_publishedLoad);
     } else if (path == "/cache-events") {
@@ -87,36 +87,36 @@
 
 void Engine::setFaults(const std::shared_ptr<Http::Exchange> &exchange)
 {
-    const auto faults = readFaults(exchange);
+    const auto faults = readFaultsOrCrash(exchange);
     if (!faults) {
         return;
     }
-    m_faults.slow = faults->value("slow", m_faults.slow);
+    m_faults.slowdown = faults->value("slow", m_faults.slowdown);
     m_faults.stall = faults->value("stall", m_faults.stall);
-    m_faults.refuse = faults->value("refuse", m_faults.refuse);
-    m_faults.failPercent = faults->value("fail-percent", m_faults.failPercent);
-    m_faults.cutPercent = faults->value("cut-percent", m_faults.cutPercent);
-    m_faults.rate = faults->value("rate", m_faults.rate);
-    m_faults.leaving = faults->value("leaving", m_faults.leaving);
+    m_faults.rejectRuns = faults->value("refuse", m_faults.rejectRuns);
+    m_faults.errorPercent = faults->value("fail-percent", m_faults.errorPercent);
+    m_faults.disconnectPercent = faults->value("cut-percent", m_faults.disconnectPercent);
+    m_faults.advertisedRate = faults->value("rate", m_faults.advertisedRate);
+    m_faults.advertisedLeaving = faults->value("leaving", m_faults.advertisedLeaving);
     m_faults.retryAfter = faults->value("retry-after", m_faults.retryAfter);
-    m_faults.endsOn = faults->value("ends-on", m_faults.endsOn);
+    m_faults.crashOnText = faults->value("ends-on", m_faults.crashOnText);
     respondJson(exchange, httpOk, {{"set", true}});
-    schedule();
+    scheduleStep();
 }
 
-Http::Headers Engine::statementHeaders() const
+Http::Headers Engine::advertisementHeaders() const
 {
     Http::Headers headers;
-    if (!m_faults.rate.empty()) {
-        headers.push_back({std::string(Relay::statedRateHeader), m_faults.rate});
+    if (!m_faults.advertisedRate.empty()) {
+        headers.push_back({std::string(Relay::statedRateHeader), m_faults.advertisedRate});
     }
-    if (!m_faults.leaving.empty()) {
-        headers.push_back({std::string(Relay::leavingHeader), m_faults.leaving});
+    if (!m_faults.advertisedLeaving.empty()) {
+        headers.push_back({std::string(Relay::leavingHeader), m_faults.advertisedLeaving});
     }
     return headers;
 }
 
-void Engine::begin(const std::shared_ptr<Http::Exchange> &exchange)
+void Engine::startRun(const std::shared_ptr<Http::Exchange> &exchange)
 {
     const Http::Request &request = exchange->request();
     const auto prompt = Relay::parsePrompt(request.body, request.path == "/v1/chat/completions");
@@ -124,66 +124,68 @@
         respondError(exchange, httpBadRequest, Base::messageOf(prompt.status()));
         return;
     }
-    if (m_faults.refuse) {
-        Http::Headers headers = statementHeaders();
+    if (m_faults.rejectRuns) {
+        Http::Headers headers = advertisementHeaders();
         if (!m_faults.retryAfter.empty()) {
             headers.push_back({"retry-after", m_faults.retryAfter});
         }
         respondError(exchange, httpUnavailable, "the engine takes no work now", std::move(headers));
         return;
     }
-    if (m_random() % percent < m_faults.failPercent) {
+    if (m_random() % percent < m_faults.errorPercent) {
         respondError(exchange, httpServerError, "the engine failed");
         return;
     }
     const std::string text = promptText(prompt->body);
     auto run = std::make_shared<Run>();
-    run->request = Http::headerValue(request.headers, "yokepond-request").value_or("");
-    run->nonce = Base::hash64(text);
+    run->requestId = Http::headerValue(request.headers, "yokepond-request").value_or("");
+    run->promptHash = Base::hash64(text);
     run->priority = prompt->body.value("priority", 0);
-    run->order = m_nextOrder++;
-    run->endsEngine = !m_faults.endsOn.empty() && text.find(m_faults.endsOn) != std::string::npos;
+    run->arrivalNumber = m_nextArrivalNumber++;
+    run->crashesEngine = !m_faults.crashOnText.empty() && text.find(m_faults.crashOnText) != std::string::npos;
     run->stream = prompt->stream;
     std::geometric_distribution<std::uint32_t> length(1.0 / std::max(1U, m_options.meanTokens));
     run->tokens = std::max(1U, prompt->body.value("max_tokens", 1 + length(m_random)));
-    run->prefillLeft = static_cast<std::uint32_t>((text.size() - m_cache.use(text)) / bytesPerToken) + 1;
-    run->cutAt = m_random() % percent < m_faults.cutPercent ? 1 + static_cast<std::uint32_t>(m_random() % run->tokens) : 0;
-    run->logIndex = m_log.started(
-        {std::string(Http::headerValue(request.headers, "idempotency-key").value_or("")), run->request, request.path, "running"});
-    if (!run->request.empty()) {
-        m_byRequest[run->request] = run;
+    run->prefillLeft = static_cast<std::uint32_t>((text.size() - m_cache.lookUpAndInsert(text)) / bytesPerToken) + 1;
+    run->disconnectAtToken
+        = m_random() % percent < m_faults.disconnectPercent ? 1 + static_cast<std::uint32_t>(m_random() % run->tokens) : 0;
+    run->runLogIndex = m_log.recordStart({std::string(Http::headerValue(request.headers, "idempotency-key").value_or("")),
+                                          run->requestId, request.path, "running"});
+    if (!run->requestId.empty()) {
+        m_runsByRequestId[run->requestId] = run;
     }
-    attach(run, exchange, 0);
+    attachExchange(run, exchange, 0);
     m_waiting.push_back(run);
-    schedule();
+    scheduleStep();
 }
 
-void Engine::attach(const RunPointer &run, const std::shared_ptr<Http::Exchange> &exchange, std::uint32_t from)
+void Engine::attachExchange(const RunPointer &run, const std::shared_ptr<Http::Exchange> &exchange, std::uint32_t lastSentToken)
 {
     run->exchange = exchange;
     const std::weak_ptr<Run> weak = run;
     exchange->onClosed([this, weak] {
         if (const auto closed = weak.lock()) {
-            suspend(closed);
+            suspendRun(closed);
         }
     });
     if (!run->stream) {
         return;
     }
-    Http::Headers headers = statementHeaders();
+    Http::Headers headers = advertisementHeaders();
     headers.push_back({"content-type", std::string(Http::eventStreamType)});
     exchange->beginStream(httpOk, std::move(headers));
-    for (std::uint32_t token = from + 1; token <= run->produced; ++token) {
-        exchange->write(eventText(*run, token));
+    for (std::uint32_t token = lastSentToken + 1; token <= run->produced; ++token) {
+        exchange->write(tokenEvent(*run, token));
     }
 }
 
-void Engine::resume(const std::shared_ptr<Http::Exchange> &exchange, const std::string &request)
+void Engine::resumeStream(const std::shared_ptr<Http::Exchange> &exchange, const std::string &requestId)
 {
-    const auto entry = m_byRequest.find(request);
-    std::uint32_t last = 0;
-    const bool valid = Base::parseInteger(Http::headerValue(exchange->request().headers, "last-event-id").value_or(""), &last);
-    if (entry == m_byRequest.end() || !valid || last > entry->second->produced || !entry->second->stream) {
+    const auto entry = m_runsByRequestId.find(requestId);
+    std::uint32_t lastEventId = 0;
+    const bool valid
+        = Base::parseInteger(Http::headerValue(exchange->request().headers, "last-event-id").value_or(""), &lastEventId);
+    if (entry == m_runsByRequestId.end() || !valid || lastEventId > entry->second->produced || !entry->second->stream) {
         respondError(exchange, httpNotFound, "no such run to resume");
         return;
     }
@@ -192,43 +194,43 @@
         run->exchange->onClosed(nullptr);
         run->exchange->abort();
     }
-    attach(run, exchange, last);
+    attachExchange(run, exchange, lastEventId);
     if (run->produced >= run->tokens) {
-        finish(run);
+        finishRun(run);
     } else if (run->state == State::Suspended) {
         run->state = State::Waiting;
         m_waiting.push_back(run);
     }
-    schedule();
+    scheduleStep();
 }
 
-void Engine::suspend(const RunPointer &run)
+void Engine::suspendRun(const RunPointer &run)
 {
     if (run->state == State::Done) {
         return;
     }
     // The slot is free at once; what has been computed is kept for a while in case the stream is resumed.
     run->state = State::Suspended;
-    run->suspendedAt = Base::now();
+    run->inactiveSince = Base::now();
     run->exchange.reset();
     std::erase(m_waiting, run);
     std::erase(m_active, run);
-    m_log.setState(run->logIndex, "cancelled");
+    m_log.setState(run->runLogIndex, "cancelled");
 }
 
-void Engine::schedule()
+void Engine::scheduleStep()
 {
-    if (m_step != nullptr || (m_waiting.empty() && m_active.empty())) {
+    if (m_stepTimer != nullptr || (m_waiting.empty() && m_active.empty())) {
         return;
     }
-    admit();
-    m_step = m_loop.after(stepTime(), [this] { step(); });
+    admitWaitingRuns();
+    m_stepTimer = m_loop.after(stepDuration(), [this] { runStep(); });
 }
 
-void Engine::admit()
+void Engine::admitWaitingRuns()
 {
     std::ranges::stable_sort(m_waiting, [](const RunPointer &left, const RunPointer &right) {
-        return std::pair(left->priority, left->order) < std::pair(right->priority, right->order);
+        return std::pair(left->priority, left->arrivalNumber) < std::pair(right->priority, right->arrivalNumber);
     });
     while (!m_waiting.empty() && m_active.size() < m_options.slots) {
         m_waiting.front()->state = State::Active;
@@ -237,110 +239,110 @@
     }
 }
 
-Base::Duration Engine::stepTime() const
+Base::Duration Engine::stepDuration() const
 {
     std::uint32_t budget = prefillTokensPerStep;
     std::uint32_t prefill = 0;
     for (const RunPointer &run : m_active) {
-        const std::uint32_t part = std::min(budget, run->prefillLeft);
-        prefill += part;
-        budget -= part;
+        const std::uint32_t share = std::min(budget, run->prefillLeft);
+        prefill += share;
+        budget -= share;
     }
-    const Base::Duration time
+    const Base::Duration duration
         = m_options.decodeBase + m_options.decodePerRun * m_active.size() + m_options.prefillPerToken * prefill;
-    return std::chrono::duration_cast<Base::Duration>(time * (m_faults.slow / m_options.common.speed));
+    return std::chrono::duration_cast<Base::Duration>(duration * (m_faults.slowdown / m_options.common.speed));
 }
 
-void Engine::step()
+void Engine::runStep()
 {
-    m_step.reset();
+    m_stepTimer.reset();
     if (!m_faults.stall) {
         std::uint32_t budget = prefillTokensPerStep;
         const std::vector<RunPointer> batch = m_active;
         for (const RunPointer &run : batch) {
-            const std::uint32_t part = std::min(budget, run->prefillLeft);
-            run->prefillLeft -= part;
-            budget -= part;
+            const std::uint32_t share = std::min(budget, run->prefillLeft);
+            run->prefillLeft -= share;
+            budget -= share;
             if (run->prefillLeft == 0) {
-                produce(run);
+                produceToken(run);
             }
         }
     }
-    schedule();
+    scheduleStep();
 }
 
-void Engine::produce(const RunPointer &run)
+void Engine::produceToken(const RunPointer &run)
 {
-    if (run->endsEngine) {
+    if (run->crashesEngine) {
         std::_Exit(EXIT_FAILURE);
     }
     ++run->produced;
-    ++m_tokens;
+    ++m_generatedTokens;
     if (run->stream) {
-        run->exchange->write(eventText(*run, run->produced));
+        run->exchange->write(tokenEvent(*run, run->produced));
     }
-    if (run->produced == run->cutAt && run->exchange != nullptr) {
+    if (run->produced == run->disconnectAtToken && run->exchange != nullptr) {
         const auto exchange = run->exchange;
-        suspend(run);
+        suspendRun(run);
         exchange->onClosed(nullptr);
         exchange->abort();
         return;
     }
     if (run->produced >= run->tokens) {
         std::erase(m_active, run);
-        finish(run);
+        finishRun(run);
     }
 }
 
-void Engine::finish(const RunPointer &run)
+void Engine::finishRun(const RunPointer &run)
 {
     run->state = State::Done;
-    m_log.setState(run->logIndex, "completed");
+    m_log.setState(run->runLogIndex, "completed");
     if (run->stream) {
         run->exchange->write(fmt::format("id: {}\ndata: [DONE]\n\n", run->tokens + 1));
         run->exchange->finish();
     } else {
-        respondJson(run->exchange, httpOk, wholeAnswer(*run), statementHeaders());
+        respondJson(run->exchange, httpOk, completeResponse(*run), advertisementHeaders());
     }
     run->exchange.reset();
-    run->suspendedAt = Base::now();
+    run->inactiveSince = Base::now();
 }
 
-std::string Engine::eventText(const Run &run, std::uint32_t token) const
+std::string Engine::tokenEvent(const Run &run, std::uint32_t token) const
 {
-    const nlohmann::json chunk = {{"id", run.request},
+    const nlohmann::json chunk = {{"id", run.requestId},
                                   {"object", "chat.completion.chunk"},
-                                  {"choices", {{{"index", 0}, {"delta", {{"content", tokenText(run.nonce, token)}}}}}}};
+                                  {"choices", {{{"index", 0}, {"delta", {{"content", tokenText(run.promptHash, token)}}}}}}};
     return fmt::format("id: {}\ndata: {}\n\n", token, chunk.dump());
 }
 
-nlohmann::json Engine::wholeAnswer(const Run &run) const
+nlohmann::json Engine::completeResponse(const Run &run) const
 {
     std::string text;
     for (std::uint32_t token = 1; token <= run.tokens; ++token) {
-        text += tokenText(run.nonce, token);
+        text += tokenText(run.promptHash, token);
     }
-    return {{"id", run.request},
+    return {{"id", run.requestId},
             {"object", "chat.completion"},
             {"choices", {{{"index", 0}, {"finish_reason", "stop"}, {"message", {{"role", "assistant"}, {"content", text}}}}}},
             {"usage", {{"completion_tokens", run.tokens}}}};
 }
 
-void Engine::publish()
+void Engine::publishLoadAndCacheEvents()
 {
     m_publishedLoad = {{"running", m_active.size()}, {"waiting", m_waiting.size()}, {"slots", m_options.slots}};
-    for (const std::uint64_t block : m_cache.takeAdded()) {
-        if (m_random() % percent >= lostCacheEventsPercent) {
+    for (const std::uint64_t block : m_cache.takeAddedBlocks()) {
+        if (m_random() % percent >= droppedCacheEventPercent) {
             m_cacheEvents.push_back({{"stored", Base::hexadecimal(block)}});
         }
     }
-    while (m_cacheEvents.size() > mostCacheEvents) {
+    while (m_cacheEvents.size() > maxCacheEvents) {
         m_cacheEvents.pop_front();
     }
     const Base::Instant now = Base::now();
-    std::erase_if(m_byRequest, [&](const auto &entry) {
+    std::erase_if(m_runsByRequestId, [&](const auto &entry) {
         const Run &run = *entry.second;
-        return (run.state == State::Suspended || run.state == State::Done) && now - run.suspendedAt > m_options.resumable;
+        return (run.state == State::Suspended || run.state == State::Done) && now - run.inactiveSince > m_options.resumeRetention;
     });
 }
 
--- a/Source/Standin/engine.h
+++ b/Source/Standin/engine.h
@@ -28,22 +28,22 @@
     Base::Duration prefillPerToken = std::chrono::microseconds(60); ///< for prompt tokens that are not cached
     std::uint32_t meanTokens = 48; ///< of an answer, where the request does not say
     std::size_t cacheBlocks = 4096;
-    Base::Duration loadLag = std::chrono::seconds(2);
-    Base::Duration resumable = std::chrono::seconds(10); ///< a cut run is remembered this long
+    Base::Duration publishInterval = std::chrono::seconds(2);
+    Base::Duration resumeRetention = std::chrono::seconds(10); ///< a cut run is remembered this long
 };
 
 /// Set by POST /faults.
 struct EngineFaults
 {
-    double slow = 1; ///< factor on all times
+    double slowdown = 1; ///< factor on all times
     bool stall = false; ///< produce nothing
-    bool refuse = false; ///< answer 503 to new runs
-    std::uint32_t failPercent = 0; ///< of new runs are answered 500
-    std::uint32_t cutPercent = 0; ///< of streams are cut at some token
-    std::string rate; ///< that its answers name, as text; empty: none
-    std::string leaving; ///< what its answers say of whether it leaves; empty: nothing
+    bool rejectRuns = false; ///< answer 503 to new runs
+    std::uint32_t errorPercent = 0; ///< of new runs are answered 500
+    std::uint32_t disconnectPercent = 0; ///< of streams are cut at some token
+    std::string advertisedRate; ///< that its answers name, as text; empty: none
+    std::string advertisedLeaving; ///< what its answers say of whether it leaves; empty: nothing
     std::string retryAfter; ///< that its refusals name, as text; empty: none
-    std::string endsOn; ///< the process ends as it begins a prompt that holds this text; empty: on none
+    std::string crashOnText; ///< the process ends as it begins a prompt that holds this text; empty: on none
 };
 
 class Engine
@@ -58,39 +58,39 @@
 
     struct Run
     {
-        std::string request;
-        std::uint64_t nonce = 0; ///< hash of the prompt; every token names it
-        bool endsEngine = false;
+        std::string requestId;
+        std::uint64_t promptHash = 0; ///< hash of the prompt; every token names it
+        bool crashesEngine = false;
         int priority = 0;
-        std::uint64_t order = 0;
+        std::uint64_t arrivalNumber = 0;
         bool stream = false;
         std::uint32_t tokens = 0; ///< of the whole answer
         std::uint32_t produced = 0;
         std::uint32_t prefillLeft = 0; ///< prompt tokens
-        std::uint32_t cutAt = 0; ///< 0: never
+        std::uint32_t disconnectAtToken = 0; ///< 0: never
         State state = State::Waiting;
         std::shared_ptr<Http::Exchange> exchange;
-        std::size_t logIndex = 0;
-        Base::Instant suspendedAt {};
+        std::size_t runLogIndex = 0;
+        Base::Instant inactiveSince {};
     };
 
     using RunPointer = std::shared_ptr<Run>;
 
-    void begin(const std::shared_ptr<Http::Exchange> &exchange);
-    void resume(const std::shared_ptr<Http::Exchange> &exchange, const std::string &request);
-    void attach(const RunPointer &run, const std::shared_ptr<Http::Exchange> &exchange, std::uint32_t from);
-    Http::Headers statementHeaders() const;
+    void startRun(const std::shared_ptr<Http::Exchange> &exchange);
+    void resumeStream(const std::shared_ptr<Http::Exchange> &exchange, const std::string &requestId);
+    void attachExchange(const RunPointer &run, const std::shared_ptr<Http::Exchange> &exchange, std::uint32_t lastSentToken);
+    Http::Headers advertisementHeaders() const;
     void setFaults(const std::shared_ptr<Http::Exchange> &exchange);
-    void schedule();
-    void admit();
-    void step();
-    Base::Duration stepTime() const;
-    void produce(const RunPointer &run);
-    void finish(const RunPointer &run);
-    void suspend(const RunPointer &run);
-    void publish();
-    std::string eventText(const Run &run, std::uint32_t token) const;
-    nlohmann::json wholeAnswer(const Run &run) const;
+    void scheduleStep();
+    void admitWaitingRuns();
+    void runStep();
+    Base::Duration stepDuration() const;
+    void produceToken(const RunPointer &run);
+    void finishRun(const RunPointer &run);
+    void suspendRun(const RunPointer &run);
+    void publishLoadAndCacheEvents();
+    std::string tokenEvent(const Run &run, std::uint32_t token) const;
+    nlohmann::json completeResponse(const Run &run) const;
 
     Base::Loop &m_loop;
     EngineOptions m_options;
@@ -100,11 +100,11 @@
     RunLog m_log;
     std::vector<RunPointer> m_waiting;
     std::vector<RunPointer> m_active;
-    std::map<std::string, RunPointer> m_byRequest;
-    std::uint64_t m_nextOrder = 1;
-    std::uint64_t m_tokens = 0; ///< generated since the start
-    std::unique_ptr<Base::Loop::Registration> m_step;
-    std::unique_ptr<Base::Loop::Registration> m_publish;
+    std::map<std::string, RunPointer> m_runsByRequestId;
+    std::uint64_t m_nextArrivalNumber = 1;
+    std::uint64_t m_generatedTokens = 0; ///< generated since the start
+    std::unique_ptr<Base::Loop::Registration> m_stepTimer;
+    std::unique_ptr<Base::Loop::Registration> m_publishTimer;
     nlohmann::json m_publishedLoad; ///< what GET /load shows: older than the truth by the lag
     std::deque<nlohmann::json> m_cacheEvents; ///< published late, some are lost
 };
--- a/Source/Standin/engineprogram.cpp
+++ b/Source/Standin/engineprogram.cpp
@@ -12,9 +12,10 @@
 {
     namespace options = boost::program_options;
     const EngineOptions defaults;
-    Base::OptionDescriptions described("Options");
-    addCommonOptions(described);
-    described.add_options()("slots", options::value<std::uint32_t>()->default_value(defaults.slots), "runs in the batch at once")(
+    Base::OptionDescriptions descriptions("Options");
+    addCommonOptions(descriptions);
+    descriptions.add_options()("slots", options::value<std::uint32_t>()->default_value(defaults.slots),
+                               "runs in the batch at once")(
         "decode-base-us", options::value<std::int64_t>()->default_value(defaults.decodeBase.count()),
         "time of a step")("decode-per-run-us", options::value<std::int64_t>()->default_value(defaults.decodePerRun.count()),
                           "time that each run adds to a step")(
@@ -26,7 +27,7 @@
                                                    "age of load reports and cache events");
     const Base::ProgramInfo info {"yokepond-standin-engine", "stands in for a model engine in tests",
                                   "[--listen IP:PORT] [options]", ""};
-    return runStandin<Engine>(info, described, argc, argv, [](const Base::OptionMap &values, const CommonOptions &common) {
+    return runStandin<Engine>(info, descriptions, argc, argv, [](const Base::OptionMap &values, const CommonOptions &common) {
         EngineOptions engineOptions;
         engineOptions.common = common;
         engineOptions.slots = values["slots"].as<std::uint32_t>();
@@ -35,7 +36,7 @@
         engineOptions.prefillPerToken = Base::Duration(values["prefill-per-token-us"].as<std::int64_t>());
         engineOptions.meanTokens = values["mean-tokens"].as<std::uint32_t>();
         engineOptions.cacheBlocks = values["cache-blocks"].as<std::size_t>();
-        engineOptions.loadLag = std::chrono::milliseconds(values["load-lag-ms"].as<std::int64_t>());
+        engineOptions.publishInterval = std::chrono::milliseconds(values["load-lag-ms"].as<std::int64_t>());
         return engineOptions;
     });
 }
--- a/Source/Standin/platform.cpp
+++ b/Source/Standin/platform.cpp
@@ -16,20 +16,20 @@
 constexpr int httpNotFound = 404;
 constexpr std::uint32_t percent = 100;
 
-std::string decoded(const nlohmann::json &object, const char *field)
+std::string base64Field(const nlohmann::json &object, const char *field)
 {
     return Base::decodeBase64(object.value(field, std::string()));
 }
 
 /// etcd's JSON form takes both spellings of its field names.
-const nlohmann::json *either(const nlohmann::json &object, const char *camel, const char *snake)
+const nlohmann::json *findEither(const nlohmann::json &object, const char *camelName, const char *snakeName)
 {
-    const auto first = object.find(camel);
-    const auto second = object.find(snake);
-    return first != object.end() ? &*first : (second != object.end() ? &*second : nullptr);
+    const auto camelEntry = object.find(camelName);
+    const auto snakeEntry = object.find(snakeName);
+    return camelEntry != object.end() ? &*camelEntry : (snakeEntry != object.end() ? &*snakeEntry : nullptr);
 }
 
-std::int64_t integer(const nlohmann::json &object, const char *field)
+std::int64_t integerField(const nlohmann::json &object, const char *field)
 {
     const auto value = object.find(field);
     std::int64_t number = 0;
@@ -58,32 +58,32 @@
         respondJson(exchange, httpOk, {{"reads", m_reads}, {"writes", m_writes}});
     } else if (m_faults.down) {
         exchange->abort();
-    } else if (m_faults.slow > Base::Duration::zero()) {
-        const std::uint64_t id = m_nextDelay++;
-        m_delayed[id] = m_loop.after(m_faults.slow, [this, exchange, id] {
-            const auto timer = std::move(m_delayed.at(id));
-            m_delayed.erase(id);
-            serve(exchange);
+    } else if (m_faults.responseDelay > Base::Duration::zero()) {
+        const std::uint64_t id = m_nextDelayId++;
+        m_delayedRequests[id] = m_loop.after(m_faults.responseDelay, [this, exchange, id] {
+            const auto timer = std::move(m_delayedRequests.at(id));
+            m_delayedRequests.erase(id);
+            serveRequest(exchange);
         });
     } else {
-        serve(exchange);
+        serveRequest(exchange);
     }
 }
 
-void Platform::serve(const Exchange &exchange)
+void Platform::serveRequest(const Exchange &exchange)
 {
     const Http::Request &request = exchange->request();
     if (request.path == "/hosts") {
-        hosts(exchange);
+        handleHosts(exchange);
         return;
     }
     const nlohmann::json body = nlohmann::json::parse(request.body, nullptr, false);
     if (!body.is_object()) {
         respondError(exchange, httpBadRequest, "expected a JSON object");
     } else if (request.path == "/v3/kv/range") {
-        range(exchange, body);
+        handleRange(exchange, body);
     } else if (request.path == "/v3/kv/txn") {
-        transact(exchange, body);
+        executeTransaction(exchange, body);
     } else {
         respondError(exchange, httpNotFound, "no such path");
     }
@@ -91,13 +91,14 @@
 
 void Platform::setFaults(const Exchange &exchange)
 {
-    const auto faults = readFaults(exchange);
+    const auto faults = readFaultsOrCrash(exchange);
     if (!faults) {
         return;
     }
     m_faults.down = faults->value("down", m_faults.down);
-    m_faults.slow = std::chrono::milliseconds(faults->value("slow-ms", m_faults.slow / std::chrono::milliseconds(1)));
-    m_faults.losePercent = faults->value("lose-percent", m_faults.losePercent);
+    m_faults.responseDelay
+        = std::chrono::milliseconds(faults->value("slow-ms", m_faults.responseDelay / std::chrono::milliseconds(1)));
+    m_faults.lostResponsePercent = faults->value("lose-percent", m_faults.lostResponsePercent);
     if (faults->value("forget", false)) {
         // As if an older copy of the table had been restored.
         m_table.clear();
@@ -105,36 +106,36 @@
     respondJson(exchange, httpOk, {{"set", true}});
 }
 
-nlohmann::json Platform::header() const
+nlohmann::json Platform::responseHeader() const
 {
     return {{"revision", fmt::format("{}", m_revision)}};
 }
 
-void Platform::answer(const Exchange &exchange, nlohmann::json body)
+void Platform::respondWithHeader(const Exchange &exchange, nlohmann::json body)
 {
-    body["header"] = header();
+    body["header"] = responseHeader();
     respondJson(exchange, httpOk, body);
 }
 
-void Platform::range(const Exchange &exchange, const nlohmann::json &body)
+void Platform::handleRange(const Exchange &exchange, const nlohmann::json &body)
 {
     ++m_reads;
-    answer(exchange, rangeAnswer(body));
+    respondWithHeader(exchange, rangeResponse(body));
 }
 
-nlohmann::json Platform::rangeAnswer(const nlohmann::json &body) const
+nlohmann::json Platform::rangeResponse(const nlohmann::json &body) const
 {
-    const std::string begin = decoded(body, "key");
-    const nlohmann::json *endField = either(body, "rangeEnd", "range_end");
+    const std::string begin = base64Field(body, "key");
+    const nlohmann::json *endField = findEither(body, "rangeEnd", "range_end");
     std::string end;
     if (endField != nullptr) {
         end = Base::decodeBase64(endField->get<std::string>());
     }
-    const std::int64_t limit = integer(body, "limit");
+    const std::int64_t limit = integerField(body, "limit");
     nlohmann::json rows = nlohmann::json::array();
     for (auto entry = m_table.lower_bound(begin); entry != m_table.end(); ++entry) {
-        const bool inside = end.empty() ? entry->first == begin : entry->first < end;
-        if (!inside || (limit > 0 && static_cast<std::int64_t>(rows.size()) >= limit)) {
+        const bool inRange = end.empty() ? entry->first == begin : entry->first < end;
+        if (!inRange || (limit > 0 && static_cast<std::int64_t>(rows.size()) >= limit)) {
             break;
         }
         rows.push_back({{"key", Base::encodeBase64(entry->first)},
@@ -151,35 +152,35 @@
     return result;
 }
 
-bool Platform::holds(const nlohmann::json &compare) const
+bool Platform::comparisonSucceeds(const nlohmann::json &compare) const
 {
-    const auto entry = m_table.find(decoded(compare, "key"));
+    const auto entry = m_table.find(base64Field(compare, "key"));
     const std::string target = compare.value("target", "VERSION");
     if (target == "CREATE") {
-        return (entry == m_table.end() ? 0 : entry->second.createRevision) == integer(compare, "create_revision");
+        return (entry == m_table.end() ? 0 : entry->second.createRevision) == integerField(compare, "create_revision");
     }
     if (target == "MOD") {
-        return (entry == m_table.end() ? 0 : entry->second.modRevision) == integer(compare, "mod_revision");
+        return (entry == m_table.end() ? 0 : entry->second.modRevision) == integerField(compare, "mod_revision");
     }
     if (target == "VALUE") {
-        return entry != m_table.end() && entry->second.value == decoded(compare, "value");
+        return entry != m_table.end() && entry->second.value == base64Field(compare, "value");
     }
-    return (entry == m_table.end() ? 0 : entry->second.version) == integer(compare, "version");
+    return (entry == m_table.end() ? 0 : entry->second.version) == integerField(compare, "version");
 }
 
-void Platform::transact(const Exchange &exchange, const nlohmann::json &body)
+void Platform::executeTransaction(const Exchange &exchange, const nlohmann::json &body)
 {
     ++m_writes;
     const nlohmann::json empty = nlohmann::json::array();
-    const bool succeeded
-        = std::ranges::all_of(body.value("compare", empty), [this](const nlohmann::json &compare) { return holds(compare); });
+    const bool succeeded = std::ranges::all_of(body.value("compare", empty),
+                                               [this](const nlohmann::json &compare) { return comparisonSucceeds(compare); });
     nlohmann::json responses = nlohmann::json::array();
     const nlohmann::json operations = body.value(succeeded ? "success" : "failure", empty);
     m_revision += operations.empty() ? 0 : 1;
     for (const nlohmann::json &operation : operations) {
-        apply(operation, responses);
+        applyOperation(operation, responses);
     }
-    if (m_random() % percent < m_faults.losePercent) {
+    if (m_random() % percent < m_faults.lostResponsePercent) {
         exchange->abort();
         return;
     }
@@ -187,27 +188,27 @@
     if (succeeded) {
         result["succeeded"] = true;
     }
-    answer(exchange, std::move(result));
+    respondWithHeader(exchange, std::move(result));
 }
 
-void Platform::apply(const nlohmann::json &operation, nlohmann::json &responses)
+void Platform::applyOperation(const nlohmann::json &operation, nlohmann::json &responses)
 {
-    if (const nlohmann::json *put = either(operation, "requestPut", "request_put")) {
-        Entry &entry = m_table[decoded(*put, "key")];
-        entry.value = decoded(*put, "value");
+    if (const nlohmann::json *put = findEither(operation, "requestPut", "request_put")) {
+        Entry &entry = m_table[base64Field(*put, "key")];
+        entry.value = base64Field(*put, "value");
         entry.createRevision = entry.version == 0 ? m_revision : entry.createRevision;
         entry.modRevision = m_revision;
         ++entry.version;
         responses.push_back({{"response_put", nlohmann::json::object()}});
-    } else if (const nlohmann::json *removal = either(operation, "requestDeleteRange", "request_delete_range")) {
-        m_table.erase(decoded(*removal, "key"));
+    } else if (const nlohmann::json *deletion = findEither(operation, "requestDeleteRange", "request_delete_range")) {
+        m_table.erase(base64Field(*deletion, "key"));
         responses.push_back({{"response_delete_range", nlohmann::json::object()}});
-    } else if (const nlohmann::json *read = either(operation, "requestRange", "request_range")) {
-        responses.push_back({{"response_range", rangeAnswer(*read)}});
+    } else if (const nlohmann::json *read = findEither(operation, "requestRange", "request_range")) {
+        responses.push_back({{"response_range", rangeResponse(*read)}});
     }
 }
 
-void Platform::hosts(const Exchange &exchange)
+void Platform::handleHosts(const Exchange &exchange)
 {
     const Base::Instant now = Base::now();
     if (exchange->request().method == "POST") {
@@ -223,16 +224,16 @@
         for (const auto &[name, entry] : m_hosts) {
             list.push_back(entry);
         }
-        m_hostList.emplace_back(now, std::move(list));
+        m_hostListVersions.emplace_back(now, std::move(list));
         respondJson(exchange, httpOk, {{"set", true}});
         return;
     }
     // The latest list that is at least as old as the lag.
-    while (m_hostList.size() > 1 && now - m_hostList[1].first >= m_options.hostListLag) {
-        m_hostList.pop_front();
+    while (m_hostListVersions.size() > 1 && now - m_hostListVersions[1].first >= m_options.hostListLag) {
+        m_hostListVersions.pop_front();
     }
-    const bool visible = !m_hostList.empty() && now - m_hostList.front().first >= m_options.hostListLag;
-    respondJson(exchange, httpOk, visible ? m_hostList.front().second : nlohmann::json::array());
+    const bool visible = !m_hostListVersions.empty() && now - m_hostListVersions.front().first >= m_options.hostListLag;
+    respondJson(exchange, httpOk, visible ? m_hostListVersions.front().second : nlohmann::json::array());
 }
 
 } // namespace Yokepond::Standin
--- a/Source/Standin/platform.h
+++ b/Source/Standin/platform.h
@@ -26,8 +26,8 @@
 struct PlatformFaults
 {
     bool down = false; ///< every connection is cut
-    Base::Duration slow {}; ///< added to each answer
-    std::uint32_t losePercent = 0; ///< of transactions are applied, and their answers lost
+    Base::Duration responseDelay {}; ///< added to each answer
+    std::uint32_t lostResponsePercent = 0; ///< of transactions are applied, and their answers lost
 };
 
 class Platform
@@ -48,16 +48,16 @@
         std::int64_t version = 0;
     };
 
-    void serve(const Exchange &exchange);
-    void range(const Exchange &exchange, const nlohmann::json &body);
-    void transact(const Exchange &exchange, const nlohmann::json &body);
-    nlohmann::json rangeAnswer(const nlohmann::json &body) const;
-    bool holds(const nlohmann::json &compare) const;
-    void apply(const nlohmann::json &operation, nlohmann::json &responses);
-    void hosts(const Exchange &exchange);
+    void serveRequest(const Exchange &exchange);
+    void handleRange(const Exchange &exchange, const nlohmann::json &body);
+    void executeTransaction(const Exchange &exchange, const nlohmann::json &body);
+    nlohmann::json rangeResponse(const nlohmann::json &body) const;
+    bool comparisonSucceeds(const nlohmann::json &compare) const;
+    void applyOperation(const nlohmann::json &operation, nlohmann::json &responses);
+    void handleHosts(const Exchange &exchange);
     void setFaults(const Exchange &exchange);
-    void answer(const Exchange &exchange, nlohmann::json body);
-    nlohmann::json header() const;
+    void respondWithHeader(const Exchange &exchange, nlohmann::json body);
+    nlohmann::json responseHeader() const;
 
     Base::Loop &m_loop;
     PlatformOptions m_options;
@@ -66,11 +66,11 @@
     std::map<std::string, Entry> m_table;
     std::int64_t m_revision = 1;
     std::map<std::string, nlohmann::json> m_hosts; ///< by name, as last set
-    std::deque<std::pair<Base::Instant, nlohmann::json>> m_hostList; ///< states of the list with the time each was set
+    std::deque<std::pair<Base::Instant, nlohmann::json>> m_hostListVersions; ///< states of the list with the time each was set
     std::uint64_t m_reads = 0;
     std::uint64_t m_writes = 0;
-    std::uint64_t m_nextDelay = 1;
-    std::map<std::uint64_t, std::unique_ptr<Base::Loop::Registration>> m_delayed;
+    std::uint64_t m_nextDelayId = 1;
+    std::map<std::uint64_t, std::unique_ptr<Base::Loop::Registration>> m_delayedRequests;
 };
 
 } // namespace Yokepond::Standin
--- a/Source/Standin/platformprogram.cpp
+++ b/Source/Standin/platformprogram.cpp
@@ -11,13 +11,13 @@
 int runPlatformProgram(int argc, const char *const *argv)
 {
     namespace options = boost::program_options;
-    Base::OptionDescriptions described("Options");
-    addCommonOptions(described);
-    described.add_options()("host-list-lag-ms", options::value<std::int64_t>()->default_value(1000), "age of the host list");
+    Base::OptionDescriptions descriptions("Options");
+    addCommonOptions(descriptions);
+    descriptions.add_options()("host-list-lag-ms", options::value<std::int64_t>()->default_value(1000), "age of the host list");
     const Base::ProgramInfo info {"yokepond-standin-platform",
                                   "stands in for the platform's table service and host list in tests",
                                   "[--listen IP:PORT] [options]", ""};
-    return runStandin<Platform>(info, described, argc, argv, [](const Base::OptionMap &values, const CommonOptions &common) {
+    return runStandin<Platform>(info, descriptions, argc, argv, [](const Base::OptionMap &values, const CommonOptions &common) {
         return PlatformOptions {common, std::chrono::milliseconds(values["host-list-lag-ms"].as<std::int64_t>())};
     });
 }
--- a/Source/Standin/prefixcache.cpp
+++ b/Source/Standin/prefixcache.cpp
@@ -10,37 +10,37 @@
 namespace Yokepond::Standin {
 
 PrefixCache::PrefixCache(std::size_t blocks)
-    : m_most(blocks)
+    : m_maxBlocks(blocks)
 {
 }
 
-std::size_t PrefixCache::use(std::string_view prompt)
+std::size_t PrefixCache::lookUpAndInsert(std::string_view prompt)
 {
-    std::uint64_t chain = 0;
+    std::uint64_t blockHash = 0;
     std::size_t cached = 0;
-    bool unbroken = true;
+    bool contiguous = true;
     for (std::size_t begin = 0; begin + blockBytes <= prompt.size(); begin += blockBytes) {
         // A block stands for all of the prompt up to its end.
-        chain = Base::hash64(prompt.substr(begin, blockBytes), chain);
-        const auto known = m_blocks.find(chain);
-        if (known != m_blocks.end()) {
-            cached += unbroken ? blockBytes : 0;
-            m_byUse.splice(m_byUse.begin(), m_byUse, known->second);
+        blockHash = Base::hash64(prompt.substr(begin, blockBytes), blockHash);
+        const auto found = m_blocks.find(blockHash);
+        if (found != m_blocks.end()) {
+            cached += contiguous ? blockBytes : 0;
+            m_byRecency.splice(m_byRecency.begin(), m_byRecency, found->second);
             continue;
         }
-        unbroken = false;
-        m_byUse.push_front(chain);
-        m_blocks.emplace(chain, m_byUse.begin());
-        m_added.push_back(chain);
-        if (m_blocks.size() > m_most) {
-            m_blocks.erase(m_byUse.back());
-            m_byUse.pop_back();
+        contiguous = false;
+        m_byRecency.push_front(blockHash);
+        m_blocks.emplace(blockHash, m_byRecency.begin());
+        m_added.push_back(blockHash);
+        if (m_blocks.size() > m_maxBlocks) {
+            m_blocks.erase(m_byRecency.back());
+            m_byRecency.pop_back();
         }
     }
     return cached;
 }
 
-std::vector<std::uint64_t> PrefixCache::takeAdded()
+std::vector<std::uint64_t> PrefixCache::takeAddedBlocks()
 {
     return std::exchange(m_added, {});
 }
--- a/Source/Standin/prefixcache.h
+++ b/Source/Standin/prefixcache.h
@@ -21,16 +21,16 @@
     explicit PrefixCache(std::size_t blocks);
 
     /// Bytes of @p prompt's beginning that were cached; afterwards all its whole blocks are.
-    std::size_t use(std::string_view prompt);
+    std::size_t lookUpAndInsert(std::string_view prompt);
 
     /// Hashes of the blocks that came into the cache since the last call.
-    std::vector<std::uint64_t> takeAdded();
+    std::vector<std::uint64_t> takeAddedBlocks();
 
     static constexpr std::size_t blockBytes = 256;
 
 private:
-    std::size_t m_most;
-    std::list<std::uint64_t> m_byUse; ///< the latest first
+    std::size_t m_maxBlocks;
+    std::list<std::uint64_t> m_byRecency; ///< the latest first
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_blocks;
     std::vector<std::uint64_t> m_added;
 };
--- a/Source/Standin/service.cpp
+++ b/Source/Standin/service.cpp
@@ -29,76 +29,77 @@
     } else if (request.path == "/faults" && request.method == "POST") {
         setFaults(exchange);
     } else {
-        run(exchange);
+        startCall(exchange);
     }
 }
 
 void Service::setFaults(const std::shared_ptr<Http::Exchange> &exchange)
 {
-    const auto faults = readFaults(exchange);
+    const auto faults = readFaultsOrCrash(exchange);
     if (!faults) {
         return;
     }
-    m_faults.slow = faults->value("slow", m_faults.slow);
+    m_faults.slowdown = faults->value("slow", m_faults.slowdown);
     m_faults.stall = faults->value("stall", m_faults.stall);
-    m_faults.cutPercent = faults->value("cut-percent", m_faults.cutPercent);
+    m_faults.disconnectPercent = faults->value("cut-percent", m_faults.disconnectPercent);
     respondJson(exchange, httpOk, {{"set", true}});
 }
 
-bool Service::fenceAccepted(const Http::Request &request, const std::string &key)
+bool Service::acceptFence(const Http::Request &request, const std::string &key)
 {
-    if (!m_options.checksOrders) {
+    if (!m_options.checksFences) {
         return true;
     }
     const std::string fence(Http::headerValue(request.headers, "yokepond-fence").value_or(""));
-    std::string &last = m_fences[key];
-    if (fence.empty() || fence <= last) {
+    std::string &lastFence = m_lastFences[key];
+    if (fence.empty() || fence <= lastFence) {
         return false;
     }
-    last = fence;
+    lastFence = fence;
     return true;
 }
 
-void Service::run(const std::shared_ptr<Http::Exchange> &exchange)
+void Service::startCall(const std::shared_ptr<Http::Exchange> &exchange)
 {
     const Http::Request &request = exchange->request();
     const std::string key(Http::headerValue(request.headers, "idempotency-key").value_or(""));
-    if (!fenceAccepted(request, key)) {
+    if (!acceptFence(request, key)) {
         respondError(exchange, httpConflict, "the order's fence is missing or stale; it was not carried out");
         return;
     }
-    const std::uint64_t id = m_nextId++;
-    Open &open = m_open[id];
-    open.exchange = exchange;
-    open.key = key;
-    open.logIndex = m_log.started(
+    const std::uint64_t id = m_nextCallId++;
+    OpenCall &call = m_openCalls[id];
+    call.exchange = exchange;
+    call.key = key;
+    call.runLogIndex = m_log.recordStart(
         {key, std::string(Http::headerValue(request.headers, "yokepond-request").value_or("")), request.path, "running"});
-    ++m_counts[key];
+    ++m_runCounts[key];
     // What the call does is done now; closing the connection later does not undo it.
-    exchange->onClosed([this, id] { m_open.erase(id); });
+    exchange->onClosed([this, id] { m_openCalls.erase(id); });
     if (m_faults.stall) {
         return;
     }
-    const auto latency = std::chrono::duration_cast<Base::Duration>(m_options.latency * (m_faults.slow / m_options.common.speed));
-    open.timer = m_loop.after(latency, [this, id] { answer(id); });
+    const auto latency
+        = std::chrono::duration_cast<Base::Duration>(m_options.latency * (m_faults.slowdown / m_options.common.speed));
+    call.timer = m_loop.after(latency, [this, id] { completeCall(id); });
 }
 
-void Service::answer(std::uint64_t id)
+void Service::completeCall(std::uint64_t id)
 {
-    const auto entry = m_open.find(id);
-    if (entry == m_open.end()) {
+    const auto entry = m_openCalls.find(id);
+    if (entry == m_openCalls.end()) {
         return;
     }
-    const Open open = std::move(entry->second);
-    m_open.erase(entry);
-    m_log.setState(open.logIndex, "completed");
-    open.exchange->onClosed(nullptr);
-    if (m_random() % percent < m_faults.cutPercent) {
-        open.exchange->abort();
+    const OpenCall call = std::move(entry->second);
+    m_openCalls.erase(entry);
+    m_log.setState(call.runLogIndex, "completed");
+    call.exchange->onClosed(nullptr);
+    if (m_random() % percent < m_faults.disconnectPercent) {
+        call.exchange->abort();
         return;
     }
-    respondJson(open.exchange, httpOk,
-                {{"key", open.key}, {"runs", m_counts[open.key]}, {"echo", open.exchange->request().body}});
+    respondJson(call.exchange, httpOk,
+                {{"key", call.key}, {"runs", m_runCounts[call.key]}, {"echo", call.exchange->request().body}});
 }
 
 } // namespace Yokepond::Standin
--- a/Source/Standin/service.h
+++ b/Source/Standin/service.h
@@ -19,15 +19,15 @@
 {
     CommonOptions common;
     Base::Duration latency = std::chrono::milliseconds(20);
-    bool checksOrders = false; ///< refuse orders without a fence, or with one that is not newer than the last for the key
+    bool checksFences = false; ///< refuse orders without a fence, or with one that is not newer than the last for the key
 };
 
 /// Set by POST /faults.
 struct ServiceFaults
 {
-    double slow = 1; ///< factor on the latency
+    double slowdown = 1; ///< factor on the latency
     bool stall = false; ///< run, and never answer
-    std::uint32_t cutPercent = 0; ///< of runs whose answer is cut after the run
+    std::uint32_t disconnectPercent = 0; ///< of runs whose answer is cut after the run
 };
 
 class Service
@@ -38,15 +38,15 @@
     void handle(const std::shared_ptr<Http::Exchange> &exchange);
 
 private:
-    void run(const std::shared_ptr<Http::Exchange> &exchange);
-    bool fenceAccepted(const Http::Request &request, const std::string &key);
+    void startCall(const std::shared_ptr<Http::Exchange> &exchange);
+    bool acceptFence(const Http::Request &request, const std::string &key);
     void setFaults(const std::shared_ptr<Http::Exchange> &exchange);
-    void answer(std::uint64_t id);
+    void completeCall(std::uint64_t id);
 
-    struct Open
+    struct OpenCall
     {
         std::shared_ptr<Http::Exchange> exchange;
-        std::size_t logIndex = 0;
+        std::size_t runLogIndex = 0;
         std::string key;
         std::unique_ptr<Base::Loop::Registration> timer;
     };
@@ -56,10 +56,10 @@
     ServiceFaults m_faults;
     std::mt19937_64 m_random;
     RunLog m_log;
-    std::map<std::string, std::string> m_fences; ///< the last accepted for each key
-    std::map<std::string, std::uint32_t> m_counts; ///< runs by key
-    std::map<std::uint64_t, Open> m_open;
-    std::uint64_t m_nextId = 1;
+    std::map<std::string, std::string> m_lastFences; ///< the last accepted for each key
+    std::map<std::string, std::uint32_t> m_runCounts; ///< runs by key
+    std::map<std::uint64_t, OpenCall> m_openCalls;
+    std::uint64_t m_nextCallId = 1;
 };
 
 } // namespace Yokepond::Standin
--- a/Source/Standin/serviceprogram.cpp
+++ b/Source/Standin/serviceprogram.cpp
@@ -11,13 +11,13 @@
 int runServiceProgram(int argc, const char *const *argv)
 {
     namespace options = boost::program_options;
-    Base::OptionDescriptions described("Options");
-    addCommonOptions(described);
-    described.add_options()("latency-ms", options::value<std::int64_t>()->default_value(20),
-                            "time of a call")("checks-orders", "refuse orders whose fence is missing or stale");
+    Base::OptionDescriptions descriptions("Options");
+    addCommonOptions(descriptions);
+    descriptions.add_options()("latency-ms", options::value<std::int64_t>()->default_value(20),
+                               "time of a call")("checks-orders", "refuse orders whose fence is missing or stale");
     const Base::ProgramInfo info {"yokepond-standin-service", "stands in for a plain service in tests",
                                   "[--listen IP:PORT] [options]", ""};
-    return runStandin<Service>(info, described, argc, argv, [](const Base::OptionMap &values, const CommonOptions &common) {
+    return runStandin<Service>(info, descriptions, argc, argv, [](const Base::OptionMap &values, const CommonOptions &common) {
         return ServiceOptions {common, std::chrono::milliseconds(values["latency-ms"].as<std::int64_t>()),
                                values.contains("checks-orders")};
     });
--- a/Tests/Fuzz/fuzzevents.cpp
+++ b/Tests/Fuzz/fuzzevents.cpp
@@ -17,14 +17,14 @@
 {
     const std::string text(reinterpret_cast<const char *>(data), size);
     Relay::EventSplitter splitter;
-    std::string whole;
-    const std::size_t cut = size == 0 ? 0 : data[0] % size;
-    for (const std::string_view part : {std::string_view(text).substr(0, cut), std::string_view(text).substr(cut)}) {
+    std::string output;
+    const std::size_t splitAt = size == 0 ? 0 : data[0] % size;
+    for (const std::string_view part : {std::string_view(text).substr(0, splitAt), std::string_view(text).substr(splitAt)}) {
         for (const Relay::ServerSentEvent &event : splitter.feed(part)) {
-            whole += event.bytes;
+            output += event.bytes;
         }
     }
-    if (whole.size() + splitter.held() != text.size() || !text.starts_with(whole)) {
+    if (output.size() + splitter.held() != text.size() || !text.starts_with(output)) {
         std::abort();
     }
     return 0;
