--- a/Source/Standin/common.cpp
+++ b/Source/Standin/common.cpp
@@ -25,11 +25,13 @@
 
 void addCommonOptions(Base::OptionDescriptions &descriptions)
 {
-    descriptions.add_options()("name", options::value<std::string>()->default_value("standin"), "name in logs")(
+    descriptions.add_options()("name", options::value<std::string>()->default_value("standin"), "name of the stand-in")(
         "listen", options::value<std::string>()->default_value("127.0.0.1:0"),
-        "address ip:port")("seed", options::value<std::uint64_t>()->default_value(1), "seed of all random choices")(
-        "speed", options::value<double>()->default_value(1), "how much faster than real time")(
-        "run-log", options::value<std::string>()->default_value(""), "file that gets a JSON line for each run");
+        "address to listen on, as ip:port; port 0 selects a free port")("seed", options::value<std::uint64_t>()->default_value(1),
+                                                                        "seed of the random generator")(
+        "speed", options::value<double>()->default_value(1),
+        "factor by which simulated work is faster than real time")("run-log", options::value<std::string>()->default_value(""),
+                                                                   "file to which a JSON line is appended for each started run");
 }
 
 absl::StatusOr<CommonOptions> commonOptions(const Base::OptionMap &values)
@@ -40,7 +42,7 @@
     }
     const double speed = values["speed"].as<double>();
     if (!(speed > 0)) {
-        return makeError(Base::ErrorKind::InvalidValue, "--speed: expected a number above 0");
+        return makeError(Base::ErrorKind::InvalidValue, "--speed: expected a number greater than 0");
     }
     return CommonOptions {values["name"].as<std::string>(), *listen, values["seed"].as<std::uint64_t>(), speed,
                           values["run-log"].as<std::string>()};
@@ -95,7 +97,7 @@
     constexpr int httpBadRequest = 400;
     nlohmann::json body = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!body.is_object()) {
-        respondError(exchange, httpBadRequest, "expected an object");
+        respondError(exchange, httpBadRequest, "the request body must be a JSON object");
         return std::nullopt;
     }
     if (body.value("crash", false)) {
--- a/Source/Standin/common.h
+++ b/Source/Standin/common.h
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What the stand-ins share: their command lines, answers and run logs.
+/// Helpers that the stand-ins share: common command-line options, JSON responses, run logs and the main program.
+/// A stand-in is a small HTTP server that replaces an endpoint or the platform in tests.
 
 #pragma once
 
@@ -22,46 +23,48 @@
 
 namespace Yokepond::Standin {
 
-/// Options every stand-in has.
+/// Options that all stand-ins accept.
 struct CommonOptions
 {
     std::string name;
     Base::Address listen;
-    std::uint64_t seed = 1;
-    double speed = 1; ///< how much faster than real time its clock runs
-    std::string runLog; ///< file that gets a JSON line for each run, empty: none
+    std::uint64_t seed = 1; ///< seed of the random generator
+    double speed = 1; ///< divisor of the simulated processing times; 2 is twice as fast as real time
+    std::string runLog; ///< file to which a JSON line is appended for each started run; empty disables it
 };
 
-/// Adds the common options to @p described.
+/// Adds the options of CommonOptions to @p descriptions.
 void addCommonOptions(Base::OptionDescriptions &descriptions);
 
-/// Reads them. Fails with ErrorKind::InvalidValue.
+/// Returns the common options in @p values. Fails with ErrorKind::InvalidValue if the address is malformed or the speed is not
+/// positive.
 absl::StatusOr<CommonOptions> commonOptions(const Base::OptionMap &values);
 
-/// Answers with @p body as JSON.
+/// Responds with @p body as JSON and with @p extraHeaders.
 void respondJson(const std::shared_ptr<Http::Exchange> &exchange, int status, const nlohmann::json &body,
                  Http::Headers extraHeaders = {});
 
-/// Answers `{"error":{"message"}}`.
+/// Responds with the JSON object `{"error":{"message":MESSAGE}}`.
 void respondError(const std::shared_ptr<Http::Exchange> &exchange, int status, const std::string &message,
                   Http::Headers extraHeaders = {});
 
-/// A run as GET /runs shows it.
+/// One run, as listed by GET /runs.
 struct RunRecord
 {
-    std::string key;
-    std::string requestId;
+    std::string key; ///< value of the idempotency-key header
+    std::string requestId; ///< value of the yokepond-request header
     std::string path;
-    std::string state;
+    std::string state; ///< running, completed or cancelled
 };
 
-/// All runs since the start, in order; each start is also a line in the log file.
+/// Lists all runs since the start of the process, in order. If a log file is set, each start is also appended to it as a JSON
+/// line.
 class RunLog
 {
 public:
     explicit RunLog(const std::string &file);
 
-    /// Records a start and returns the run's index.
+    /// Adds a started run and returns its index for setState().
     std::size_t recordStart(RunRecord record);
     void setState(std::size_t index, const std::string &state);
     nlohmann::json toJson() const;
@@ -71,17 +74,18 @@
     std::vector<RunRecord> m_runs;
 };
 
-/// The faults of a POST /faults, or nothing after an error answer. `"crash": true` ends the process at once.
+/// Returns the JSON object in the body of a POST /faults. If the body is no object, responds with status 400 and returns nothing.
+/// If the object contains `"crash": true`, ends the process at once without cleanup.
 std::optional<nlohmann::json> readFaultsOrCrash(const std::shared_ptr<Http::Exchange> &exchange);
 
-/// Runs the loop until SIGTERM.
+/// Runs the loop until SIGTERM and returns the exit code.
 int runUntilStopped(Base::Loop &loop);
 
-/// Tells @p error on standard error and returns the exit code for it.
+/// Prints @p error to standard error and returns the exit code of a failure.
 int reportError(const std::string &program, const absl::Status &error);
 
-/// Reads the command line, serves a Behaviour made with @p makeOptions(values, common options) and runs until SIGTERM. Returns
-/// the process's exit code. A Behaviour is made from a loop and its options, and has handle(exchange).
+/// Runs a stand-in until SIGTERM and returns the exit code of the process. Parses the command line, constructs
+/// Behaviour(loop, makeOptions(values, common options)) and passes each HTTP request to its handle(exchange).
 template<typename Behaviour, typename MakeOptions>
 int runStandin(const Base::ProgramInfo &info, const Base::OptionDescriptions &descriptions, int argc, const char *const *argv,
                MakeOptions makeOptions)
--- a/Source/Standin/engine.cpp
+++ b/Source/Standin/engine.cpp
@@ -22,6 +22,7 @@
 constexpr std::uint32_t prefillTokensPerStep = 2048;
 constexpr std::uint32_t percent = 100;
 constexpr std::size_t maxCacheEvents = 1000;
+/// Simulates a lossy event feed: this percentage of cache events is never published.
 constexpr std::uint32_t droppedCacheEventPercent = 10;
 constexpr std::uint32_t bytesPerToken = 4;
 constexpr int httpOk = 200;
@@ -129,11 +130,11 @@
         if (!m_faults.retryAfter.empty()) {
             headers.push_back({"retry-after", m_faults.retryAfter});
         }
-        respondError(exchange, httpUnavailable, "the engine takes no work now", std::move(headers));
+        respondError(exchange, httpUnavailable, "the engine is rejecting new runs", std::move(headers));
         return;
     }
     if (m_random() % percent < m_faults.errorPercent) {
-        respondError(exchange, httpServerError, "the engine failed");
+        respondError(exchange, httpServerError, "simulated engine failure");
         return;
     }
     const std::string text = promptText(prompt->body);
@@ -186,7 +187,7 @@
     const bool valid
         = Base::parseInteger(Http::headerValue(exchange->request().headers, "last-event-id").value_or(""), &lastEventId);
     if (entry == m_runsByRequestId.end() || !valid || lastEventId > entry->second->produced || !entry->second->stream) {
-        respondError(exchange, httpNotFound, "no such run to resume");
+        respondError(exchange, httpNotFound, "the run is unknown or cannot be resumed from this event");
         return;
     }
     const RunPointer run = entry->second;
@@ -209,7 +210,7 @@
     if (run->state == State::Done) {
         return;
     }
-    // The slot is free at once; what has been computed is kept for a while in case the stream is resumed.
+    // The slot is freed immediately. The generated tokens are kept until resumeRetention passes, in case the stream is resumed.
     run->state = State::Suspended;
     run->inactiveSince = Base::now();
     run->exchange.reset();
--- a/Source/Standin/engine.h
+++ b/Source/Standin/engine.h
@@ -2,8 +2,9 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// A model engine's behaviour: continuous batching with a priority queue, a prefix cache, streams that resume and cancel.
-/// It computes nothing: the text of an answer is made from the prompt, so that anyone can check that it is the right one.
+/// Simulates a model engine: continuous batching with a priority queue, a prefix cache, and streams that can be resumed and
+/// cancelled. No model runs. The text of a response is derived from the hash of the prompt, so that a test can check that a
+/// response belongs to its request.
 
 #pragma once
 
@@ -19,38 +20,44 @@
 
 namespace Yokepond::Standin {
 
+/// Options of the engine stand-in. The durations of steps (decode and prefill) are divided by CommonOptions::speed, the others
+/// are not.
 struct EngineOptions
 {
     CommonOptions common;
-    std::uint32_t slots = 8; ///< runs in the batch at once
-    Base::Duration decodeBase = std::chrono::milliseconds(12); ///< of a step with no runs
-    Base::Duration decodePerRun = std::chrono::microseconds(600); ///< added to a step by each run
-    Base::Duration prefillPerToken = std::chrono::microseconds(60); ///< for prompt tokens that are not cached
-    std::uint32_t meanTokens = 48; ///< of an answer, where the request does not say
-    std::size_t cacheBlocks = 4096;
-    Base::Duration publishInterval = std::chrono::seconds(2);
-    Base::Duration resumeRetention = std::chrono::seconds(10); ///< a cut run is remembered this long
+    std::uint32_t slots = 8; ///< maximum number of runs in the batch
+    Base::Duration decodeBase = std::chrono::milliseconds(12); ///< duration of a step, before the additions below
+    Base::Duration decodePerRun = std::chrono::microseconds(600); ///< added to the duration of a step for each run in the batch
+    Base::Duration prefillPerToken = std::chrono::microseconds(60); ///< added for each prompt token that is prefilled
+    std::uint32_t meanTokens = 48; ///< mean response length for requests without max_tokens
+    std::size_t cacheBlocks = 4096; ///< capacity of the prefix cache
+    Base::Duration publishInterval = std::chrono::seconds(2); ///< interval between updates of /load and /cache-events
+    Base::Duration resumeRetention
+        = std::chrono::seconds(10); ///< how long a run stays resumable after it finished or lost its connection
 };
 
-/// Set by POST /faults.
+/// Simulated faults, set by POST /faults.
 struct EngineFaults
 {
-    double slowdown = 1; ///< factor on all times
-    bool stall = false; ///< produce nothing
-    bool rejectRuns = false; ///< answer 503 to new runs
-    std::uint32_t errorPercent = 0; ///< of new runs are answered 500
-    std::uint32_t disconnectPercent = 0; ///< of streams are cut at some token
-    std::string advertisedRate; ///< that its answers name, as text; empty: none
-    std::string advertisedLeaving; ///< what its answers say of whether it leaves; empty: nothing
-    std::string retryAfter; ///< that its refusals name, as text; empty: none
-    std::string crashOnText; ///< the process ends as it begins a prompt that holds this text; empty: on none
+    double slowdown = 1; ///< factor by which each step takes longer
+    bool stall = false; ///< steps neither prefill prompts nor generate tokens
+    bool rejectRuns = false; ///< reject new runs with status 503
+    std::uint32_t errorPercent = 0; ///< percentage of new runs that get status 500
+    std::uint32_t disconnectPercent = 0; ///< percentage of new runs whose connection is closed after a random token
+    std::string advertisedRate; ///< header value for the requests per second that responses advertise; empty omits it
+    std::string advertisedLeaving; ///< header value that announces the shutdown of the engine; empty omits it
+    std::string retryAfter; ///< value of the retry-after header when runs are rejected; empty omits it
+    std::string crashOnText; ///< the process exits at the first token of a prompt that contains this text; empty disables it
 };
 
+/// Serves the HTTP interface of the engine stand-in and simulates its batch in steps. A step takes a time that depends on the
+/// batch. At its end each run whose prompt is prefilled gets one more token.
 class Engine
 {
 public:
     Engine(Base::Loop &loop, EngineOptions options);
 
+    /// Handles one HTTP request: starts or resumes a run, shows counters, or sets faults.
     void handle(const std::shared_ptr<Http::Exchange> &exchange);
 
 private:
@@ -58,36 +65,43 @@
 
     struct Run
     {
-        std::string requestId;
-        std::uint64_t promptHash = 0; ///< hash of the prompt; every token names it
-        bool crashesEngine = false;
-        int priority = 0;
-        std::uint64_t arrivalNumber = 0;
+        std::string requestId; ///< value of the yokepond-request header; may be empty
+        std::uint64_t promptHash = 0; ///< hash of the prompt, part of the text of each token
+        bool crashesEngine = false; ///< whether its first token ends the process
+        int priority = 0; ///< lower values are admitted first
+        std::uint64_t arrivalNumber = 0; ///< admission order within a priority
         bool stream = false;
-        std::uint32_t tokens = 0; ///< of the whole answer
-        std::uint32_t produced = 0;
-        std::uint32_t prefillLeft = 0; ///< prompt tokens
-        std::uint32_t disconnectAtToken = 0; ///< 0: never
+        std::uint32_t tokens = 0; ///< length of the complete response
+        std::uint32_t produced = 0; ///< tokens generated so far
+        std::uint32_t prefillLeft = 0; ///< prompt tokens that are not prefilled yet
+        std::uint32_t disconnectAtToken = 0; ///< the connection is closed after this token; 0 means never
         State state = State::Waiting;
-        std::shared_ptr<Http::Exchange> exchange;
+        std::shared_ptr<Http::Exchange> exchange; ///< null while no client is connected
         std::size_t runLogIndex = 0;
-        Base::Instant inactiveSince {};
+        Base::Instant inactiveSince {}; ///< time of the last suspension or of the end
     };
 
     using RunPointer = std::shared_ptr<Run>;
 
     void startRun(const std::shared_ptr<Http::Exchange> &exchange);
+    /// Continues the stream of the run with this request ID after the event that the last-event-id header names. A connection
+    /// that still receives the stream is closed. Responds with status 404 if the run cannot be resumed.
     void resumeStream(const std::shared_ptr<Http::Exchange> &exchange, const std::string &requestId);
+    /// Connects @p exchange to the run and sends the tokens after @p lastSentToken that are already generated.
     void attachExchange(const RunPointer &run, const std::shared_ptr<Http::Exchange> &exchange, std::uint32_t lastSentToken);
     Http::Headers advertisementHeaders() const;
     void setFaults(const std::shared_ptr<Http::Exchange> &exchange);
+    /// Starts the timer of the next step, unless it runs already or there is no work.
     void scheduleStep();
+    /// Moves waiting runs into free slots, by priority and then by arrival.
     void admitWaitingRuns();
     void runStep();
     Base::Duration stepDuration() const;
     void produceToken(const RunPointer &run);
     void finishRun(const RunPointer &run);
+    /// Frees the slot of a run that lost its connection. Its state is kept for resumption.
     void suspendRun(const RunPointer &run);
+    /// Updates the results of /load and /cache-events and discards runs that are no longer resumable.
     void publishLoadAndCacheEvents();
     std::string tokenEvent(const Run &run, std::uint32_t token) const;
     nlohmann::json completeResponse(const Run &run) const;
@@ -102,11 +116,12 @@
     std::vector<RunPointer> m_active;
     std::map<std::string, RunPointer> m_runsByRequestId;
     std::uint64_t m_nextArrivalNumber = 1;
-    std::uint64_t m_generatedTokens = 0; ///< generated since the start
+    std::uint64_t m_generatedTokens = 0; ///< tokens of all runs since the start
     std::unique_ptr<Base::Loop::Registration> m_stepTimer;
     std::unique_ptr<Base::Loop::Registration> m_publishTimer;
-    nlohmann::json m_publishedLoad; ///< what GET /load shows: older than the truth by the lag
-    std::deque<nlohmann::json> m_cacheEvents; ///< published late, some are lost
+    nlohmann::json m_publishedLoad; ///< result of GET /load, up to publishInterval old
+    std::deque<nlohmann::json>
+        m_cacheEvents; ///< result of GET /cache-events: up to publishInterval old, with some events dropped
 };
 
 } // namespace Yokepond::Standin
--- a/Source/Standin/engineprogram.cpp
+++ b/Source/Standin/engineprogram.cpp
@@ -15,18 +15,18 @@
     Base::OptionDescriptions descriptions("Options");
     addCommonOptions(descriptions);
     descriptions.add_options()("slots", options::value<std::uint32_t>()->default_value(defaults.slots),
-                               "runs in the batch at once")(
-        "decode-base-us", options::value<std::int64_t>()->default_value(defaults.decodeBase.count()),
-        "time of a step")("decode-per-run-us", options::value<std::int64_t>()->default_value(defaults.decodePerRun.count()),
-                          "time that each run adds to a step")(
-        "prefill-per-token-us", options::value<std::int64_t>()->default_value(defaults.prefillPerToken.count()),
-        "time of an uncached prompt token")("mean-tokens", options::value<std::uint32_t>()->default_value(defaults.meanTokens),
-                                            "mean length of an answer")(
+                               "maximum number of runs in the batch")(
+        "decode-base-us", options::value<std::int64_t>()->default_value(defaults.decodeBase.count()), "base duration of a step")(
+        "decode-per-run-us", options::value<std::int64_t>()->default_value(defaults.decodePerRun.count()),
+        "duration that each run adds to a step")("prefill-per-token-us",
+                                                 options::value<std::int64_t>()->default_value(defaults.prefillPerToken.count()),
+                                                 "duration that each uncached prompt token adds to a step")(
+        "mean-tokens", options::value<std::uint32_t>()->default_value(defaults.meanTokens), "mean response length in tokens")(
         "cache-blocks", options::value<std::size_t>()->default_value(defaults.cacheBlocks),
-        "blocks of 256 bytes in the prefix cache")("load-lag-ms", options::value<std::int64_t>()->default_value(2000),
-                                                   "age of load reports and cache events");
-    const Base::ProgramInfo info {"yokepond-standin-engine", "stands in for a model engine in tests",
-                                  "[--listen IP:PORT] [options]", ""};
+        "capacity of the prefix cache in blocks of 256 bytes")("load-lag-ms", options::value<std::int64_t>()->default_value(2000),
+                                                               "interval between updates of load reports and cache events");
+    const Base::ProgramInfo info {"yokepond-standin-engine", "simulates a model engine for tests", "[--listen IP:PORT] [options]",
+                                  ""};
     return runStandin<Engine>(info, descriptions, argc, argv, [](const Base::OptionMap &values, const CommonOptions &common) {
         EngineOptions engineOptions;
         engineOptions.common = common;
--- a/Source/Standin/platform.cpp
+++ b/Source/Standin/platform.cpp
@@ -21,7 +21,7 @@
     return Base::decodeBase64(object.value(field, std::string()));
 }
 
-/// etcd's JSON form takes both spellings of its field names.
+/// Returns the field under its camel-case or snake-case name, or null if it is missing. etcd's JSON interface accepts both.
 const nlohmann::json *findEither(const nlohmann::json &object, const char *camelName, const char *snakeName)
 {
     const auto camelEntry = object.find(camelName);
@@ -29,6 +29,7 @@
     return camelEntry != object.end() ? &*camelEntry : (snakeEntry != object.end() ? &*snakeEntry : nullptr);
 }
 
+/// Returns an integer that is encoded as a number or as text, as in etcd's JSON. A missing field or invalid text gives 0.
 std::int64_t integerField(const nlohmann::json &object, const char *field)
 {
     const auto value = object.find(field);
@@ -79,7 +80,7 @@
     }
     const nlohmann::json body = nlohmann::json::parse(request.body, nullptr, false);
     if (!body.is_object()) {
-        respondError(exchange, httpBadRequest, "expected a JSON object");
+        respondError(exchange, httpBadRequest, "the request body must be a JSON object");
     } else if (request.path == "/v3/kv/range") {
         handleRange(exchange, body);
     } else if (request.path == "/v3/kv/txn") {
@@ -100,7 +101,7 @@
         = std::chrono::milliseconds(faults->value("slow-ms", m_faults.responseDelay / std::chrono::milliseconds(1)));
     m_faults.lostResponsePercent = faults->value("lose-percent", m_faults.lostResponsePercent);
     if (faults->value("forget", false)) {
-        // As if an older copy of the table had been restored.
+        // Simulates a restore from an older copy of the table. The copy is empty; the revision counter keeps its value.
         m_table.clear();
     }
     respondJson(exchange, httpOk, {{"set", true}});
@@ -228,7 +229,7 @@
         respondJson(exchange, httpOk, {{"set", true}});
         return;
     }
-    // The latest list that is at least as old as the lag.
+    // Discards versions until the front is the latest one that is at least hostListLag old.
     while (m_hostListVersions.size() > 1 && now - m_hostListVersions[1].first >= m_options.hostListLag) {
         m_hostListVersions.pop_front();
     }
--- a/Source/Standin/platform.h
+++ b/Source/Standin/platform.h
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The platform's behaviour: a transactional table (the JSON form of etcd's v3 key-value interface) and a host list that lags.
+/// Simulates the platform: a transactional table with the JSON form of etcd's v3 key-value interface, and a host list that lags
+/// behind its updates.
 
 #pragma once
 
@@ -16,20 +17,23 @@
 
 namespace Yokepond::Standin {
 
+/// Options of the platform stand-in.
 struct PlatformOptions
 {
     CommonOptions common;
-    Base::Duration hostListLag = std::chrono::seconds(1);
+    Base::Duration hostListLag = std::chrono::seconds(1); ///< delay before an update of the host list is visible
 };
 
-/// Set by POST /faults.
+/// Simulated faults, set by POST /faults.
 struct PlatformFaults
 {
-    bool down = false; ///< every connection is cut
-    Base::Duration responseDelay {}; ///< added to each answer
-    std::uint32_t lostResponsePercent = 0; ///< of transactions are applied, and their answers lost
+    bool down = false; ///< close the connection of every request for the table or the host list
+    Base::Duration responseDelay {}; ///< delay before a request for the table or the host list is processed
+    std::uint32_t lostResponsePercent
+        = 0; ///< percentage of transactions that are applied, but whose connection is closed without a response
 };
 
+/// Serves the HTTP interface of the platform stand-in: the table, the host list, counters and faults.
 class Platform
 {
 public:
@@ -40,6 +44,7 @@
 private:
     using Exchange = std::shared_ptr<Http::Exchange>;
 
+    /// A key's value and revisions, as in etcd.
     struct Entry
     {
         std::string value;
@@ -52,8 +57,12 @@
     void handleRange(const Exchange &exchange, const nlohmann::json &body);
     void executeTransaction(const Exchange &exchange, const nlohmann::json &body);
     nlohmann::json rangeResponse(const nlohmann::json &body) const;
+    /// Evaluates a comparison of an etcd transaction: whether the create revision, mod revision, version or value of the key
+    /// equals the given one.
     bool comparisonSucceeds(const nlohmann::json &compare) const;
+    /// Applies a put, delete or range operation to the table and appends its result to @p responses.
     void applyOperation(const nlohmann::json &operation, nlohmann::json &responses);
+    /// Updates the host list (POST, "gone" removes a host), or shows it with the lag (other methods).
     void handleHosts(const Exchange &exchange);
     void setFaults(const Exchange &exchange);
     void respondWithHeader(const Exchange &exchange, nlohmann::json body);
@@ -64,9 +73,9 @@
     PlatformFaults m_faults;
     std::mt19937_64 m_random;
     std::map<std::string, Entry> m_table;
-    std::int64_t m_revision = 1;
-    std::map<std::string, nlohmann::json> m_hosts; ///< by name, as last set
-    std::deque<std::pair<Base::Instant, nlohmann::json>> m_hostListVersions; ///< states of the list with the time each was set
+    std::int64_t m_revision = 1; ///< increases with each transaction that contains operations
+    std::map<std::string, nlohmann::json> m_hosts; ///< latest entry of each host, by name
+    std::deque<std::pair<Base::Instant, nlohmann::json>> m_hostListVersions; ///< versions of the host list and their update times
     std::uint64_t m_reads = 0;
     std::uint64_t m_writes = 0;
     std::uint64_t m_nextDelayId = 1;
--- a/Source/Standin/platformprogram.h
+++ b/Source/Standin/platformprogram.h
@@ -2,13 +2,13 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The command line of yokepond-standin-platform.
+/// The command-line program yokepond-standin-platform.
 
 #pragma once
 
 namespace Yokepond::Standin {
 
-/// Runs the platform stand-in until SIGTERM. Returns the process's exit code.
+/// Runs the platform stand-in until SIGTERM. Returns the exit code of the process.
 int runPlatformProgram(int argc, const char *const *argv);
 
 } // namespace Yokepond::Standin
--- a/Source/Standin/prefixcache.cpp
+++ b/Source/Standin/prefixcache.cpp
@@ -20,7 +20,7 @@
     std::size_t cached = 0;
     bool contiguous = true;
     for (std::size_t begin = 0; begin + blockBytes <= prompt.size(); begin += blockBytes) {
-        // A block stands for all of the prompt up to its end.
+        // The hash of a block also covers the whole prompt before it.
         blockHash = Base::hash64(prompt.substr(begin, blockBytes), blockHash);
         const auto found = m_blocks.find(blockHash);
         if (found != m_blocks.end()) {
--- a/Source/Standin/prefixcache.h
+++ b/Source/Standin/prefixcache.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// An engine's prefix cache: blocks of prompts, the least recently used dropped first.
+/// The prefix cache of the engine stand-in.
 
 #pragma once
 
@@ -14,23 +14,24 @@
 
 namespace Yokepond::Standin {
 
+/// Caches blocks of prompts and evicts the least recently used block first. Only the hashes of the blocks are stored.
 class PrefixCache
 {
 public:
-    /// Holds at most @p blocks blocks of blockBytes each.
+    /// Creates a cache of at most @p blocks blocks of blockBytes each.
     explicit PrefixCache(std::size_t blocks);
 
-    /// Bytes of @p prompt's beginning that were cached; afterwards all its whole blocks are.
+    /// Returns the length in bytes of the cached prefix of @p prompt, and inserts the missing complete blocks of the prompt.
     std::size_t lookUpAndInsert(std::string_view prompt);
 
-    /// Hashes of the blocks that came into the cache since the last call.
+    /// Returns the hashes of the blocks that were inserted since the last call.
     std::vector<std::uint64_t> takeAddedBlocks();
 
     static constexpr std::size_t blockBytes = 256;
 
 private:
     std::size_t m_maxBlocks;
-    std::list<std::uint64_t> m_byRecency; ///< the latest first
+    std::list<std::uint64_t> m_byRecency; ///< block hashes, the most recently used first
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_blocks;
     std::vector<std::uint64_t> m_added;
 };
--- a/Source/Standin/service.cpp
+++ b/Source/Standin/service.cpp
@@ -64,7 +64,7 @@
     const Http::Request &request = exchange->request();
     const std::string key(Http::headerValue(request.headers, "idempotency-key").value_or(""));
     if (!acceptFence(request, key)) {
-        respondError(exchange, httpConflict, "the order's fence is missing or stale; it was not carried out");
+        respondError(exchange, httpConflict, "the fencing token is missing or stale; the call was not run");
         return;
     }
     const std::uint64_t id = m_nextCallId++;
@@ -74,7 +74,7 @@
     call.runLogIndex = m_log.recordStart(
         {key, std::string(Http::headerValue(request.headers, "yokepond-request").value_or("")), request.path, "running"});
     ++m_runCounts[key];
-    // What the call does is done now; closing the connection later does not undo it.
+    // The call counts as run from here on: a connection that closes later does not undo it.
     exchange->onClosed([this, id] { m_openCalls.erase(id); });
     if (m_faults.stall) {
         return;
--- a/Source/Standin/serviceprogram.cpp
+++ b/Source/Standin/serviceprogram.cpp
@@ -14,8 +14,9 @@
     Base::OptionDescriptions descriptions("Options");
     addCommonOptions(descriptions);
     descriptions.add_options()("latency-ms", options::value<std::int64_t>()->default_value(20),
-                               "time of a call")("checks-orders", "refuse orders whose fence is missing or stale");
-    const Base::ProgramInfo info {"yokepond-standin-service", "stands in for a plain service in tests",
+                               "time from a call to its response")("checks-orders",
+                                                                   "reject calls whose fencing token is missing or stale");
+    const Base::ProgramInfo info {"yokepond-standin-service", "simulates a plain service for tests",
                                   "[--listen IP:PORT] [options]", ""};
     return runStandin<Service>(info, descriptions, argc, argv, [](const Base::OptionMap &values, const CommonOptions &common) {
         return ServiceOptions {common, std::chrono::milliseconds(values["latency-ms"].as<std::int64_t>()),
