--- a/Source/FaultProxy/link.cpp
+++ b/Source/FaultProxy/link.cpp
@@ -11,6 +11,7 @@
 namespace {
 
 constexpr std::size_t readBytes = 16U << 10U;
+/// Bytes that arrive while this many chunks are buffered are discarded.
 constexpr std::size_t maxBufferedChunks = 4096;
 
 } // namespace
--- a/Source/FaultProxy/link.h
+++ b/Source/FaultProxy/link.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// One proxied TCP connection, with the faults that are set for its route.
+/// A proxied TCP connection and the faults that are injected into it.
 
 #pragma once
 
@@ -19,22 +19,24 @@
 
 namespace Yokepond::FaultProxy {
 
-/// What happens to the bytes of a route; set over HTTP while the proxy runs.
+/// Faults that are injected into the connections of a route. They are set over HTTP while the proxy runs and also affect open
+/// connections. Forward is the direction from the client to the target.
 struct Faults
 {
     Base::Duration delay {}; ///< added to every byte in both directions
-    bool blackholeForward = false; ///< bytes towards the target vanish
-    bool blackholeBackward = false; ///< bytes from the target vanish
-    bool refuse = false; ///< new connections are closed at once
-    std::uint64_t bytesPerSecond = 0; ///< in each direction, 0: no limit
-    std::int64_t cutAfterForward = -1; ///< bytes towards the target after which a connection is cut; -1: never
-    std::int64_t cutAfterBackward = -1; ///< bytes from the target after which a connection is cut; -1: never
-    bool halfOpen = false; ///< the target's side is closed and the caller's side is left open
+    bool blackholeForward = false; ///< discard bytes to the target
+    bool blackholeBackward = false; ///< discard bytes from the target
+    bool refuse = false; ///< close new connections immediately
+    std::uint64_t bytesPerSecond = 0; ///< bandwidth limit of each direction of a connection; 0 means no limit
+    std::int64_t cutAfterForward = -1; ///< close a connection after this many bytes to the target; -1 means never
+    std::int64_t cutAfterBackward = -1; ///< close a connection after this many bytes from the target; -1 means never
+    bool halfOpen = false; ///< close the connection to the target and keep the one from the client open
 };
 
 class Link;
 
-/// One direction of a link: reads from a socket, holds bytes for the delay, writes to the other socket.
+/// One direction of a link. Reads from the source socket, buffers the bytes for the configured delay, and writes them to the
+/// destination socket.
 class Pipe : public ACE_Event_Handler
 {
 public:
@@ -44,10 +46,12 @@
     ACE_HANDLE get_handle() const override;
     int handle_input(ACE_HANDLE handle) override;
 
-    /// Writes what is due; returns false if the connection broke.
+    /// Writes the buffered bytes whose delay has passed, within the bandwidth limit. Returns false if the link is to be closed: a
+    /// write failed, the byte limit of the fault is reached, or the source has ended and all its bytes are written.
     bool writeDue(Base::Instant now);
 
 private:
+    /// Bytes of one read, with the time from which they may be written.
     struct Chunk
     {
         Base::Instant due {};
@@ -60,14 +64,14 @@
     ACE_SOCK_Stream &m_source;
     ACE_SOCK_Stream &m_destination;
     bool m_registered = false;
-    bool m_sourceEnded = false; ///< the reading side has ended
+    bool m_sourceEnded = false; ///< the source was closed or failed
     std::deque<Chunk> m_chunks;
-    std::int64_t m_bytesWritten = 0;
-    double m_byteAllowance = 0; ///< bytes that the bandwidth allows now
+    std::int64_t m_bytesWritten = 0; ///< total of the connection, for cutAfterForward and cutAfterBackward
+    double m_byteAllowance = 0; ///< content of the token bucket that limits the bandwidth, at most one second's worth
     Base::Instant m_lastWrite {};
 };
 
-/// A connection from a caller and the one to the target that it is joined to.
+/// A connection from a client and the connection to the target to which it is forwarded.
 class Link
 {
 public:
@@ -78,10 +82,10 @@
 
     const Faults &faults() const;
 
-    /// Marks the link to be taken away at the next tick.
+    /// Requests that the next tick() removes the link.
     void close();
 
-    /// Moves bytes that are due; false if the link is over.
+    /// Writes due bytes in both directions. Returns false if the link is to be removed.
     bool tick(Base::Instant now);
 
 private:
--- a/Source/FaultProxy/proxyprogram.cpp
+++ b/Source/FaultProxy/proxyprogram.cpp
@@ -39,7 +39,7 @@
             {"half-open", faults.halfOpen}};
 }
 
-/// Fields that are missing are off: a body of `{}` heals the route.
+/// Returns the faults in a JSON object. A missing field disables its fault, so that `{}` removes all faults of the route.
 Faults faultsFromJson(const nlohmann::json &json)
 {
     Faults faults;
@@ -59,7 +59,8 @@
     exchange.respond({status, {{"content-type", std::string(Http::jsonType)}}, body.dump() + "\n"});
 }
 
-/// GET / lists the routes; POST /ROUTE sets its faults, and `"cut": true` cuts its connections.
+/// Handles one request of the HTTP interface. GET / lists the routes. POST /ROUTE replaces the faults of that route; `"cut":
+/// true` in the body also closes its connections.
 void handleRequest(const Routes &routes, Http::Exchange &exchange)
 {
     const Http::Request &request = exchange.request();
@@ -76,12 +77,12 @@
     }
     const auto route = std::ranges::find_if(routes, [&](const auto &entry) { return "/" + entry->name() == request.path; });
     if (route == routes.end()) {
-        respond(exchange, httpNotFound, {{"error", "no such route"}});
+        respond(exchange, httpNotFound, {{"error", "no route with this name"}});
         return;
     }
     const nlohmann::json body = nlohmann::json::parse(request.body, nullptr, false);
     if (!body.is_object()) {
-        respond(exchange, httpBadRequest, {{"error", "expected a JSON object"}});
+        respond(exchange, httpBadRequest, {{"error", "the request body must be a JSON object"}});
         return;
     }
     (*route)->setFaults(faultsFromJson(body));
@@ -91,7 +92,8 @@
     respond(exchange, httpOk, faultsToJson((*route)->faults()));
 }
 
-/// NAME=LISTEN=TARGET. Fails with ErrorKind::InvalidValue.
+/// Creates a listening route from NAME=LISTEN=TARGET. Fails with ErrorKind::InvalidValue if the text is malformed, and with
+/// ErrorKind::InvalidSettings if it cannot listen on the address.
 absl::StatusOr<std::unique_ptr<Route>> makeRoute(Base::Loop &loop, const std::string &text)
 {
     const std::vector<std::string_view> parts = Base::split(text, '=');
@@ -124,9 +126,9 @@
     Base::OptionDescriptions descriptions("Options");
     descriptions.add_options()("control", options::value<std::string>()->default_value("127.0.0.1:0"),
                                "address of the HTTP interface")("route", options::value<std::vector<std::string>>()->required(),
-                                                                "NAME=LISTEN=TARGET, may be given many times");
+                                                                "NAME=LISTEN=TARGET; may be repeated");
     Base::OptionMap values;
-    const Base::ProgramInfo info {std::string(programName), "joins TCP connections and breaks them in set ways",
+    const Base::ProgramInfo info {std::string(programName), "forwards TCP connections and injects faults into them",
                                   "--control IP:PORT --route NAME=LISTEN=TARGET...",
                                   "  yokepond-faultproxy --control 127.0.0.1:9000 --route h1=127.0.0.1:9001=127.0.0.1:8001\n"
                                   "  curl 127.0.0.1:9000/h1 -d '{\"delay-ms\": 50, \"blackhole-backward\": true}'\n"};
--- a/Source/FaultProxy/route.cpp
+++ b/Source/FaultProxy/route.cpp
@@ -44,7 +44,9 @@
 absl::Status Route::listen(const Base::Address &address)
 {
     if (m_acceptor.open(toAceAddress(address), 1) != 0) {
-        return makeError(Base::ErrorKind::InvalidSettings, fmt::format("cannot listen on {}", address.text()));
+        return makeError(
+            Base::ErrorKind::InvalidSettings,
+            fmt::format("cannot listen on {}; check that the address belongs to this machine and is free", address.text()));
     }
     m_acceptor.enable(ACE_NONBLOCK);
     m_loop.reactor().register_handler(this, ACE_Event_Handler::ACCEPT_MASK);
@@ -106,7 +108,7 @@
     ACE_SOCK_Stream target;
     ACE_SOCK_Connector connector;
     const ACE_Time_Value timeout(connectTimeoutSeconds);
-    // The target is on this machine: it answers or refuses at once.
+    // The connect blocks the loop, which is acceptable: the target is on this machine and accepts or refuses immediately.
     if (connector.connect(target, toAceAddress(m_target), &timeout) != 0) {
         client.close();
         return 0;
--- a/Source/FaultProxy/route.h
+++ b/Source/FaultProxy/route.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// A listening address and the target its connections are joined to.
+/// A listening address of the fault proxy and the target to which its connections are forwarded.
 
 #pragma once
 
@@ -18,6 +18,8 @@
 
 namespace Yokepond::FaultProxy {
 
+/// Accepts connections on one address, opens a connection to the target for each, and forwards bytes between the two with the
+/// faults that are set.
 class Route : public ACE_Event_Handler
 {
 public:
@@ -26,19 +28,21 @@
     Route(const Route &) = delete;
     Route &operator=(const Route &) = delete;
 
-    /// Fails with ErrorKind::InvalidSettings.
+    /// Starts to accept connections on @p address. Fails with ErrorKind::InvalidSettings if the address cannot be used.
     absl::Status listen(const Base::Address &address);
 
     const std::string &name() const;
+    /// Returns the address on which the route listens, with the selected port if port 0 was requested.
     Base::Address address() const;
 
     const Faults &faults() const;
     void setFaults(const Faults &faults);
 
-    /// Cuts all connections.
+    /// Marks all connections to be closed at the next tick().
     void closeConnections();
 
     std::size_t connectionCount() const;
+    /// Writes due bytes of all connections and removes the connections that ended. To be called every few milliseconds.
     void tick(Base::Instant now);
 
     ACE_HANDLE get_handle() const override;
--- a/Source/yokepond-faultproxy.cpp
+++ b/Source/yokepond-faultproxy.cpp
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The TCP proxy that breaks connections for tests.
+/// Main program of the fault proxy, a TCP proxy that injects faults into connections for tests.
 
 #include "FaultProxy/proxyprogram.h"
 
--- a/Source/yokepond-load.cpp
+++ b/Source/yokepond-load.cpp
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The open-loop load tool.
+/// Main program of the open-loop load generator.
 
 #include "Load/loadprogram.h"
 
--- a/Source/yokepond-standin-engine.cpp
+++ b/Source/yokepond-standin-engine.cpp
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// A stand-in for a model engine.
+/// Main program of the engine stand-in, which simulates a model engine for tests.
 
 #include "Standin/engineprogram.h"
 
--- a/Source/yokepond-standin-platform.cpp
+++ b/Source/yokepond-standin-platform.cpp
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// A stand-in for the platform's table service and host list.
+/// Main program of the platform stand-in, which simulates the platform's table service and host list for tests.
 
 #include "Standin/platformprogram.h"
 
--- a/Source/yokepond-standin-service.cpp
+++ b/Source/yokepond-standin-service.cpp
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// A stand-in for a plain service.
+/// Main program of the service stand-in, which simulates a plain service for tests.
 
 #include "Standin/serviceprogram.h"
 
--- a/Source/yokepond.cpp
+++ b/Source/yokepond.cpp
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The operators' command-line tool.
+/// Main program of yokepond, the operators' command-line tool.
 
 #include "Tool/toolprogram.h"
 
--- a/Source/yokepondd.cpp
+++ b/Source/yokepondd.cpp
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The daemon.
+/// Main program of yokepondd, the daemon that runs on each host.
 
 #include "Node/daemonprogram.h"
 
--- a/Tests/Fuzz/fuzzevents.cpp
+++ b/Tests/Fuzz/fuzzevents.cpp
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Fuzzes the event splitter: no byte is lost or added, however the stream is cut.
+/// Fuzzes the event splitter: no byte is lost or added, wherever the input is split into two parts.
 
 #include "Relay/eventsplitter.h"
 
--- a/Tests/Fuzz/fuzzini.cpp
+++ b/Tests/Fuzz/fuzzini.cpp
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Fuzzes INI files and the settings read from them.
+/// Fuzzes the parser of INI files and of the settings in them: the only error of the settings parser is InvalidSettings.
 
 #include "Base/error.h"
 #include "Node/settings.h"
--- a/Tests/Fuzz/fuzzjson.cpp
+++ b/Tests/Fuzz/fuzzjson.cpp
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Fuzzes what is read as JSON: prompts, snapshots, changes, operation records, host lists, and the records of a platform.
+/// Fuzzes the parsers of JSON input: prompts, snapshots, changes, operation records, host lists, and platform records. An invalid
+/// prompt must give InvalidRequest, and one invalid endpoint record must not invalidate the whole site.
 
 #include "Base/error.h"
 #include "Configuration/changescodec.h"
--- a/Tests/Fuzz/fuzzstatement.cpp
+++ b/Tests/Fuzz/fuzzstatement.cpp
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Fuzzes the operators' language: any text is parsed or refused with a typed error.
+/// Fuzzes the parser and planner of the operators' language: no text causes an internal error.
 
 #include "Base/error.h"
 #include "Language/plan.h"
--- a/Tests/Fuzz/fuzzticket.cpp
+++ b/Tests/Fuzz/fuzzticket.cpp
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Fuzzes tickets: only what the secret made is accepted.
+/// Fuzzes the ticket parser: it accepts only texts that are identical to a ticket signed with the secret.
 
 #include "Request/ticket.h"
 
--- a/Tests/main.cpp
+++ b/Tests/main.cpp
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Runs the tests of one program; a violated invariant ends it.
+/// Main program of each unit test executable. A violated invariant aborts it.
 
 #include "Base/invariant.h"
 #include "Base/log.h"
@@ -14,7 +14,7 @@
 {
     Yokepond::Base::makeViolationsFatal();
     Yokepond::Base::configureLog(Yokepond::Base::LogLevel::Error, "");
-    // The sanitizers look for leaks; CppUTest's own detector does not know of threads and static caches.
+    // The sanitizers detect memory leaks. CppUTest's own detector does not support threads and static caches.
     MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
     return CommandLineTestRunner::RunAllTests(argc, argv);
 }
