--- a/Source/Standin/engine.h
+++ b/Source/Standin/engine.h
@@ -32,8 +32,7 @@
     std::uint32_t meanTokens = 48; ///< mean response length for requests without max_tokens
     std::size_t cacheBlocks = 4096; ///< capacity of the prefix cache
     Base::Duration publishInterval = std::chrono::seconds(2); ///< interval between updates of /load and /cache-events
-    Base::Duration resumeRetention
-        = std::chrono::seconds(10); ///< how long a run stays resumable after it finished or lost its connection
+    Base::Duration resumeRetention = std::chrono::seconds(10); ///< how long a finished or disconnected run can be resumed
 };
 
 /// Simulated faults, set by POST /faults.
@@ -120,8 +119,7 @@
     std::unique_ptr<Base::Loop::Registration> m_stepTimer;
     std::unique_ptr<Base::Loop::Registration> m_publishTimer;
     nlohmann::json m_publishedLoad; ///< result of GET /load, up to publishInterval old
-    std::deque<nlohmann::json>
-        m_cacheEvents; ///< result of GET /cache-events: up to publishInterval old, with some events dropped
+    std::deque<nlohmann::json> m_cacheEvents; ///< result of GET /cache-events, up to publishInterval old; some are dropped
 };
 
 } // namespace Yokepond::Standin
--- a/Source/Standin/platform.h
+++ b/Source/Standin/platform.h
@@ -29,8 +29,7 @@
 {
     bool down = false; ///< close the connection of every request for the table or the host list
     Base::Duration responseDelay {}; ///< delay before a request for the table or the host list is processed
-    std::uint32_t lostResponsePercent
-        = 0; ///< percentage of transactions that are applied, but whose connection is closed without a response
+    std::uint32_t lostResponsePercent = 0; ///< percentage of transactions that are applied but get no response
 };
 
 /// Serves the HTTP interface of the platform stand-in: the table, the host list, counters and faults.
