--- a/Source/FaultProxy/link.cpp
+++ b/Source/FaultProxy/link.cpp
@@ -57,7 +57,7 @@
     if (!discarded && m_chunks.size() < maxBufferedChunks) {
         m_chunks.push_back({Base::now() + faults.delay, std::string(buffer.data(), static_cast<std::size_t>(received))});
         if (!writeDue(Base::now())) {
-            m_link.close();
+            m_link.requestClose();
         }
     }
     return 0;
@@ -66,8 +66,8 @@
 bool Pipe::writeDue(Base::Instant now)
 {
     const Faults &faults = m_link.faults();
-    const double elapsed = m_lastWrite == Base::Instant {} ? 0 : Base::seconds(now - m_lastWrite);
-    m_lastWrite = now;
+    const double elapsed = m_lastRefill == Base::Instant {} ? 0 : Base::seconds(now - m_lastRefill);
+    m_lastRefill = now;
     m_byteAllowance = std::min<double>(m_byteAllowance + elapsed * static_cast<double>(faults.bytesPerSecond),
                                        static_cast<double>(faults.bytesPerSecond));
     const std::int64_t cutAfter = m_forward ? faults.cutAfterForward : faults.cutAfterBackward;
@@ -124,7 +124,7 @@
     return m_faults;
 }
 
-void Link::close()
+void Link::requestClose()
 {
     m_closeRequested = true;
 }
--- a/Source/FaultProxy/link.h
+++ b/Source/FaultProxy/link.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// A proxied TCP connection and the faults that are injected into it.
+/// A link: the TCP connection of a client, the TCP connection to the target, and the faults that are injected between them.
 
 #pragma once
 
@@ -19,18 +19,19 @@
 
 namespace Yokepond::FaultProxy {
 
-/// Faults that are injected into the connections of a route. They are set over HTTP while the proxy runs and also affect open
-/// connections. Forward is the direction from the client to the target.
+/// Faults that are injected into the links of a route, that is a listening address with its target. They are set over HTTP while
+/// the proxy runs. Except for refuse they also affect open links; a new delay applies to the bytes that are read after the
+/// change. Forward is the direction from the client to the target.
 struct Faults
 {
-    Base::Duration delay {}; ///< added to every byte in both directions
+    Base::Duration delay {}; ///< time for which the bytes of each direction are held back
     bool blackholeForward = false; ///< discard bytes to the target
     bool blackholeBackward = false; ///< discard bytes from the target
     bool refuse = false; ///< close new connections immediately
-    std::uint64_t bytesPerSecond = 0; ///< bandwidth limit of each direction of a connection; 0 means no limit
-    std::int64_t cutAfterForward = -1; ///< close a connection after this many bytes to the target; -1 means never
-    std::int64_t cutAfterBackward = -1; ///< close a connection after this many bytes from the target; -1 means never
-    bool halfOpen = false; ///< close the connection to the target and keep the one from the client open
+    std::uint64_t bytesPerSecond = 0; ///< bandwidth limit of each direction of a link; 0 means no limit
+    std::int64_t cutAfterForward = -1; ///< close a link after this many bytes to the target; -1 means never
+    std::int64_t cutAfterBackward = -1; ///< close a link after this many bytes from the target; -1 means never
+    bool halfOpen = false; ///< close the target's connection and leave the client's open but unread; unsetting it closes the link
 };
 
 class Link;
@@ -47,7 +48,7 @@
     int handle_input(ACE_HANDLE handle) override;
 
     /// Writes the buffered bytes whose delay has passed, within the bandwidth limit. Returns false if the link is to be closed: a
-    /// write failed, the byte limit of the fault is reached, or the source has ended and all its bytes are written.
+    /// write failed, cutAfterForward or cutAfterBackward is reached, or the source has ended and all its bytes are written.
     bool writeDue(Base::Instant now);
 
 private:
@@ -66,9 +67,11 @@
     bool m_registered = false;
     bool m_sourceEnded = false; ///< the source was closed or failed
     std::deque<Chunk> m_chunks;
-    std::int64_t m_bytesWritten = 0; ///< total of the connection, for cutAfterForward and cutAfterBackward
-    double m_byteAllowance = 0; ///< content of the token bucket that limits the bandwidth, at most one second's worth
-    Base::Instant m_lastWrite {};
+    std::int64_t m_bytesWritten = 0; ///< bytes written in this direction since the start of the link
+    /// Token bucket for bytesPerSecond: bytes that may be written now, at most those of one second. Not consulted without a
+    /// limit.
+    double m_byteAllowance = 0;
+    Base::Instant m_lastRefill {}; ///< time of the last addition to m_byteAllowance
 };
 
 /// A connection from a client and the connection to the target to which it is forwarded.
@@ -82,10 +85,10 @@
 
     const Faults &faults() const;
 
-    /// Requests that the next tick() removes the link.
-    void close();
+    /// Makes the next tick() return false.
+    void requestClose();
 
-    /// Writes due bytes in both directions. Returns false if the link is to be removed.
+    /// Writes due bytes in both directions. Returns false if the link is to be closed; the route then destroys it.
     bool tick(Base::Instant now);
 
 private:
--- a/Source/FaultProxy/route.cpp
+++ b/Source/FaultProxy/route.cpp
@@ -77,7 +77,7 @@
 
 void Route::closeConnections()
 {
-    std::ranges::for_each(m_links, [](const auto &link) { link->close(); });
+    std::ranges::for_each(m_links, [](const auto &link) { link->requestClose(); });
 }
 
 std::size_t Route::connectionCount() const
--- a/Source/FaultProxy/route.h
+++ b/Source/FaultProxy/route.h
@@ -38,7 +38,7 @@
     const Faults &faults() const;
     void setFaults(const Faults &faults);
 
-    /// Marks all connections to be closed at the next tick().
+    /// Closes all connections at the next tick().
     void closeConnections();
 
     std::size_t connectionCount() const;
--- a/Source/Standin/common.h
+++ b/Source/Standin/common.h
@@ -3,7 +3,8 @@
 
 /// @file
 /// Helpers that the stand-ins share: common command-line options, JSON responses, run logs and the main program.
-/// A stand-in is a small HTTP server that replaces an endpoint or the platform in tests.
+/// A stand-in is a small HTTP server for tests. It replaces an endpoint (a model engine or a plain service), or the platform that
+/// provides the table service and the list of hosts. A run is one execution of a request at an endpoint.
 
 #pragma once
 
@@ -29,8 +30,8 @@
     std::string name;
     Base::Address listen;
     std::uint64_t seed = 1; ///< seed of the random generator
-    double speed = 1; ///< divisor of the simulated processing times; 2 is twice as fast as real time
-    std::string runLog; ///< file to which a JSON line is appended for each started run; empty disables it
+    double speed = 1; ///< divisor of the durations of engine steps and of the service latency
+    std::string runLogFile; ///< file to which a JSON line is appended for each started run; empty disables it
 };
 
 /// Adds the options of CommonOptions to @p descriptions.
@@ -54,10 +55,10 @@
     std::string key; ///< value of the idempotency-key header
     std::string requestId; ///< value of the yokepond-request header
     std::string path;
-    std::string state; ///< running, completed or cancelled
+    std::string state; ///< running (also while queued); cancelled after a disconnect, even if resumed later; completed
 };
 
-/// Lists all runs since the start of the process, in order. If a log file is set, each start is also appended to it as a JSON
+/// Records all runs since the start of the process, in order. If a log file is set, each start is also appended to it as a JSON
 /// line.
 class RunLog
 {
@@ -104,7 +105,7 @@
     const auto server = Http::Server::listen(
         loop, common->listen, limits,
         [&behaviour](const std::shared_ptr<Http::Exchange> &exchange) { behaviour.handle(exchange); },
-        [](const absl::Status &error) { return Base::messageOf(error); });
+        [](const absl::Status &error) { return Base::messageOf(error); }); // response body for malformed requests
     if (!server.ok()) {
         return reportError(info.name, server.status());
     }
--- a/Source/Standin/engine.cpp
+++ b/Source/Standin/engine.cpp
@@ -21,6 +21,7 @@
 
 constexpr std::uint32_t prefillTokensPerStep = 2048;
 constexpr std::uint32_t percent = 100;
+/// Older cache events are removed from /cache-events.
 constexpr std::size_t maxCacheEvents = 1000;
 /// Simulates a lossy event feed: this percentage of cache events is never published.
 constexpr std::uint32_t droppedCacheEventPercent = 10;
@@ -57,10 +58,10 @@
     , m_options(std::move(options))
     , m_random(m_options.common.seed)
     , m_cache(m_options.cacheBlocks)
-    , m_log(m_options.common.runLog)
+    , m_log(m_options.common.runLogFile)
     , m_publishedLoad({{"running", 0}, {"waiting", 0}, {"slots", m_options.slots}})
 {
-    m_publishTimer = loop.every(m_options.publishInterval, [this] { publishLoadAndCacheEvents(); });
+    m_periodicTimer = loop.every(m_options.publishInterval, [this] { runPeriodicTasks(); });
 }
 
 void Engine::handle(const std::shared_ptr<Http::Exchange> &exchange)
@@ -146,10 +147,11 @@
     run->crashesEngine = !m_faults.crashOnText.empty() && text.find(m_faults.crashOnText) != std::string::npos;
     run->stream = prompt->stream;
     std::geometric_distribution<std::uint32_t> length(1.0 / std::max(1U, m_options.meanTokens));
-    run->tokens = std::max(1U, prompt->body.value("max_tokens", 1 + length(m_random)));
-    run->prefillLeft = static_cast<std::uint32_t>((text.size() - m_cache.lookUpAndInsert(text)) / bytesPerToken) + 1;
-    run->disconnectAtToken
-        = m_random() % percent < m_faults.disconnectPercent ? 1 + static_cast<std::uint32_t>(m_random() % run->tokens) : 0;
+    run->responseTokens = std::max(1U, prompt->body.value("max_tokens", 1 + length(m_random)));
+    run->prefillLeft = static_cast<std::uint32_t>((text.size() - m_cache.insertAndCountCachedBytes(text)) / bytesPerToken) + 1;
+    run->disconnectAtToken = m_random() % percent < m_faults.disconnectPercent
+        ? 1 + static_cast<std::uint32_t>(m_random() % run->responseTokens)
+        : 0;
     run->runLogIndex = m_log.recordStart({std::string(Http::headerValue(request.headers, "idempotency-key").value_or("")),
                                           run->requestId, request.path, "running"});
     if (!run->requestId.empty()) {
@@ -175,7 +177,7 @@
     Http::Headers headers = advertisementHeaders();
     headers.push_back({"content-type", std::string(Http::eventStreamType)});
     exchange->beginStream(httpOk, std::move(headers));
-    for (std::uint32_t token = lastSentToken + 1; token <= run->produced; ++token) {
+    for (std::uint32_t token = lastSentToken + 1; token <= run->generated; ++token) {
         exchange->write(tokenEvent(*run, token));
     }
 }
@@ -186,7 +188,7 @@
     std::uint32_t lastEventId = 0;
     const bool valid
         = Base::parseInteger(Http::headerValue(exchange->request().headers, "last-event-id").value_or(""), &lastEventId);
-    if (entry == m_runsByRequestId.end() || !valid || lastEventId > entry->second->produced || !entry->second->stream) {
+    if (entry == m_runsByRequestId.end() || !valid || lastEventId > entry->second->generated || !entry->second->stream) {
         respondError(exchange, httpNotFound, "the run is unknown or cannot be resumed from this event");
         return;
     }
@@ -196,7 +198,7 @@
         run->exchange->abort();
     }
     attachExchange(run, exchange, lastEventId);
-    if (run->produced >= run->tokens) {
+    if (run->generated >= run->responseTokens) {
         finishRun(run);
     } else if (run->state == State::Suspended) {
         run->state = State::Waiting;
@@ -265,31 +267,31 @@
             run->prefillLeft -= share;
             budget -= share;
             if (run->prefillLeft == 0) {
-                produceToken(run);
+                generateToken(run);
             }
         }
     }
     scheduleStep();
 }
 
-void Engine::produceToken(const RunPointer &run)
+void Engine::generateToken(const RunPointer &run)
 {
     if (run->crashesEngine) {
         std::_Exit(EXIT_FAILURE);
     }
-    ++run->produced;
+    ++run->generated;
     ++m_generatedTokens;
     if (run->stream) {
-        run->exchange->write(tokenEvent(*run, run->produced));
+        run->exchange->write(tokenEvent(*run, run->generated));
     }
-    if (run->produced == run->disconnectAtToken && run->exchange != nullptr) {
+    if (run->generated == run->disconnectAtToken && run->exchange != nullptr) {
         const auto exchange = run->exchange;
         suspendRun(run);
         exchange->onClosed(nullptr);
         exchange->abort();
         return;
     }
-    if (run->produced >= run->tokens) {
+    if (run->generated >= run->responseTokens) {
         std::erase(m_active, run);
         finishRun(run);
     }
@@ -300,7 +302,7 @@
     run->state = State::Done;
     m_log.setState(run->runLogIndex, "completed");
     if (run->stream) {
-        run->exchange->write(fmt::format("id: {}\ndata: [DONE]\n\n", run->tokens + 1));
+        run->exchange->write(fmt::format("id: {}\ndata: [DONE]\n\n", run->responseTokens + 1));
         run->exchange->finish();
     } else {
         respondJson(run->exchange, httpOk, completeResponse(*run), advertisementHeaders());
@@ -320,16 +322,16 @@
 nlohmann::json Engine::completeResponse(const Run &run) const
 {
     std::string text;
-    for (std::uint32_t token = 1; token <= run.tokens; ++token) {
+    for (std::uint32_t token = 1; token <= run.responseTokens; ++token) {
         text += tokenText(run.promptHash, token);
     }
     return {{"id", run.requestId},
             {"object", "chat.completion"},
             {"choices", {{{"index", 0}, {"finish_reason", "stop"}, {"message", {{"role", "assistant"}, {"content", text}}}}}},
-            {"usage", {{"completion_tokens", run.tokens}}}};
+            {"usage", {{"completion_tokens", run.responseTokens}}}};
 }
 
-void Engine::publishLoadAndCacheEvents()
+void Engine::runPeriodicTasks()
 {
     m_publishedLoad = {{"running", m_active.size()}, {"waiting", m_waiting.size()}, {"slots", m_options.slots}};
     for (const std::uint64_t block : m_cache.takeAddedBlocks()) {
--- a/Source/Standin/engine.h
+++ b/Source/Standin/engine.h
@@ -2,9 +2,9 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Simulates a model engine: continuous batching with a priority queue, a prefix cache, and streams that can be resumed and
-/// cancelled. No model runs. The text of a response is derived from the hash of the prompt, so that a test can check that a
-/// response belongs to its request.
+/// Simulates a model engine: continuous batching with a priority queue, a prefix cache, and streams that can be resumed.
+/// A client cancels a run by closing its connection. No model runs. The text of a response is derived from the hash of the
+/// prompt, so that a test can check that a response belongs to its request.
 
 #pragma once
 
@@ -20,8 +20,8 @@
 
 namespace Yokepond::Standin {
 
-/// Options of the engine stand-in. The durations of steps (decode and prefill) are divided by CommonOptions::speed, the others
-/// are not.
+/// Options of the engine stand-in. CommonOptions::speed shortens the durations of steps, but not publishInterval and
+/// resumeRetention.
 struct EngineOptions
 {
     CommonOptions common;
@@ -35,7 +35,7 @@
     Base::Duration resumeRetention = std::chrono::seconds(10); ///< how long a finished or disconnected run can be resumed
 };
 
-/// Simulated faults, set by POST /faults.
+/// Simulated faults and advertisements, set by POST /faults. The JSON fields have other names, see Engine::setFaults().
 struct EngineFaults
 {
     double slowdown = 1; ///< factor by which each step takes longer
@@ -43,10 +43,12 @@
     bool rejectRuns = false; ///< reject new runs with status 503
     std::uint32_t errorPercent = 0; ///< percentage of new runs that get status 500
     std::uint32_t disconnectPercent = 0; ///< percentage of new runs whose connection is closed after a random token
-    std::string advertisedRate; ///< header value for the requests per second that responses advertise; empty omits it
-    std::string advertisedLeaving; ///< header value that announces the shutdown of the engine; empty omits it
+    /// Header value: requests per second that the engine accepts from all hosts together; empty omits the header.
+    std::string advertisedRate;
+    std::string advertisedLeaving; ///< header value with which the engine announces that it will shut down; empty omits it
     std::string retryAfter; ///< value of the retry-after header when runs are rejected; empty omits it
-    std::string crashOnText; ///< the process exits at the first token of a prompt that contains this text; empty disables it
+    /// The process exits when the first response token for a prompt with this text is due; empty disables it.
+    std::string crashOnText;
 };
 
 /// Serves the HTTP interface of the engine stand-in and simulates its batch in steps. A step takes a time that depends on the
@@ -68,10 +70,10 @@
         std::uint64_t promptHash = 0; ///< hash of the prompt, part of the text of each token
         bool crashesEngine = false; ///< whether its first token ends the process
         int priority = 0; ///< lower values are admitted first
-        std::uint64_t arrivalNumber = 0; ///< admission order within a priority
+        std::uint64_t arrivalNumber = 0; ///< order within a priority; a resumed run keeps its number
         bool stream = false;
-        std::uint32_t tokens = 0; ///< length of the complete response
-        std::uint32_t produced = 0; ///< tokens generated so far
+        std::uint32_t responseTokens = 0; ///< length of the complete response
+        std::uint32_t generated = 0; ///< tokens generated so far
         std::uint32_t prefillLeft = 0; ///< prompt tokens that are not prefilled yet
         std::uint32_t disconnectAtToken = 0; ///< the connection is closed after this token; 0 means never
         State state = State::Waiting;
@@ -86,22 +88,24 @@
     /// Continues the stream of the run with this request ID after the event that the last-event-id header names. A connection
     /// that still receives the stream is closed. Responds with status 404 if the run cannot be resumed.
     void resumeStream(const std::shared_ptr<Http::Exchange> &exchange, const std::string &requestId);
-    /// Connects @p exchange to the run and sends the tokens after @p lastSentToken that are already generated.
+    /// Makes @p exchange the connection of the run. For a stream, sends the generated tokens after @p lastSentToken. The ID of a
+    /// token's event is the number of the token, counted from 1; the final [DONE] event has the next number.
     void attachExchange(const RunPointer &run, const std::shared_ptr<Http::Exchange> &exchange, std::uint32_t lastSentToken);
     Http::Headers advertisementHeaders() const;
     void setFaults(const std::shared_ptr<Http::Exchange> &exchange);
-    /// Starts the timer of the next step, unless it runs already or there is no work.
+    /// Admits waiting runs and starts the timer of the next step. Does nothing if that timer is already running or if there are
+    /// no runs.
     void scheduleStep();
     /// Moves waiting runs into free slots, by priority and then by arrival.
     void admitWaitingRuns();
     void runStep();
     Base::Duration stepDuration() const;
-    void produceToken(const RunPointer &run);
+    void generateToken(const RunPointer &run);
     void finishRun(const RunPointer &run);
-    /// Frees the slot of a run that lost its connection. Its state is kept for resumption.
+    /// Frees the slot of a run whose connection was lost. The tokens generated so far are kept, so that a stream can be resumed.
     void suspendRun(const RunPointer &run);
-    /// Updates the results of /load and /cache-events and discards runs that are no longer resumable.
-    void publishLoadAndCacheEvents();
+    /// Updates the results of /load and /cache-events, and removes the request IDs of runs that can no longer be resumed.
+    void runPeriodicTasks();
     std::string tokenEvent(const Run &run, std::uint32_t token) const;
     nlohmann::json completeResponse(const Run &run) const;
 
@@ -117,9 +121,9 @@
     std::uint64_t m_nextArrivalNumber = 1;
     std::uint64_t m_generatedTokens = 0; ///< tokens of all runs since the start
     std::unique_ptr<Base::Loop::Registration> m_stepTimer;
-    std::unique_ptr<Base::Loop::Registration> m_publishTimer;
+    std::unique_ptr<Base::Loop::Registration> m_periodicTimer;
     nlohmann::json m_publishedLoad; ///< result of GET /load, up to publishInterval old
-    std::deque<nlohmann::json> m_cacheEvents; ///< result of GET /cache-events, up to publishInterval old; some are dropped
+    std::deque<nlohmann::json> m_cacheEvents; ///< result of GET /cache-events; randomly chosen events are left out
 };
 
 } // namespace Yokepond::Standin
--- a/Source/Standin/platform.cpp
+++ b/Source/Standin/platform.cpp
@@ -21,7 +21,8 @@
     return Base::decodeBase64(object.value(field, std::string()));
 }
 
-/// Returns the field under its camel-case or snake-case name, or null if it is missing. etcd's JSON interface accepts both.
+/// Returns the field under its camel-case or snake-case name, or null if it is missing. etcd accepts both; this stand-in does so
+/// for the operations of a transaction and for the end of a range.
 const nlohmann::json *findEither(const nlohmann::json &object, const char *camelName, const char *snakeName)
 {
     const auto camelEntry = object.find(camelName);
@@ -50,28 +51,29 @@
 {
 }
 
-void Platform::handle(const Exchange &exchange)
+void Platform::handle(const ExchangePointer &exchange)
 {
     const Http::Request &request = exchange->request();
     if (request.path == "/faults" && request.method == "POST") {
         setFaults(exchange);
     } else if (request.path == "/counts") {
-        respondJson(exchange, httpOk, {{"reads", m_reads}, {"writes", m_writes}});
+        respondJson(exchange, httpOk, {{"reads", m_rangeRequests}, {"writes", m_transactions}});
     } else if (m_faults.down) {
         exchange->abort();
-    } else if (m_faults.responseDelay > Base::Duration::zero()) {
-        const std::uint64_t id = m_nextDelayId++;
-        m_delayedRequests[id] = m_loop.after(m_faults.responseDelay, [this, exchange, id] {
-            const auto timer = std::move(m_delayedRequests.at(id));
-            m_delayedRequests.erase(id);
-            serveRequest(exchange);
+    } else if (m_faults.processingDelay > Base::Duration::zero()) {
+        const std::uint64_t id = m_nextTimerId++;
+        m_delayTimers[id] = m_loop.after(m_faults.processingDelay, [this, exchange, id] {
+            // Keeps the registration alive until its callback returns.
+            const auto timer = std::move(m_delayTimers.at(id));
+            m_delayTimers.erase(id);
+            dispatchRequest(exchange);
         });
     } else {
-        serveRequest(exchange);
+        dispatchRequest(exchange);
     }
 }
 
-void Platform::serveRequest(const Exchange &exchange)
+void Platform::dispatchRequest(const ExchangePointer &exchange)
 {
     const Http::Request &request = exchange->request();
     if (request.path == "/hosts") {
@@ -84,24 +86,24 @@
     } else if (request.path == "/v3/kv/range") {
         handleRange(exchange, body);
     } else if (request.path == "/v3/kv/txn") {
-        executeTransaction(exchange, body);
+        handleTransaction(exchange, body);
     } else {
         respondError(exchange, httpNotFound, "no such path");
     }
 }
 
-void Platform::setFaults(const Exchange &exchange)
+void Platform::setFaults(const ExchangePointer &exchange)
 {
     const auto faults = readFaultsOrCrash(exchange);
     if (!faults) {
         return;
     }
     m_faults.down = faults->value("down", m_faults.down);
-    m_faults.responseDelay
-        = std::chrono::milliseconds(faults->value("slow-ms", m_faults.responseDelay / std::chrono::milliseconds(1)));
+    m_faults.processingDelay
+        = std::chrono::milliseconds(faults->value("slow-ms", m_faults.processingDelay / std::chrono::milliseconds(1)));
     m_faults.lostResponsePercent = faults->value("lose-percent", m_faults.lostResponsePercent);
     if (faults->value("forget", false)) {
-        // Simulates a restore from an older copy of the table. The copy is empty; the revision counter keeps its value.
+        // Simulates the restore of an old copy of the table, which is empty here. The revision counter is not reset.
         m_table.clear();
     }
     respondJson(exchange, httpOk, {{"set", true}});
@@ -112,15 +114,15 @@
     return {{"revision", fmt::format("{}", m_revision)}};
 }
 
-void Platform::respondWithHeader(const Exchange &exchange, nlohmann::json body)
+void Platform::respondWithHeader(const ExchangePointer &exchange, nlohmann::json body)
 {
     body["header"] = responseHeader();
     respondJson(exchange, httpOk, body);
 }
 
-void Platform::handleRange(const Exchange &exchange, const nlohmann::json &body)
+void Platform::handleRange(const ExchangePointer &exchange, const nlohmann::json &body)
 {
-    ++m_reads;
+    ++m_rangeRequests;
     respondWithHeader(exchange, rangeResponse(body));
 }
 
@@ -169,9 +171,9 @@
     return (entry == m_table.end() ? 0 : entry->second.version) == integerField(compare, "version");
 }
 
-void Platform::executeTransaction(const Exchange &exchange, const nlohmann::json &body)
+void Platform::handleTransaction(const ExchangePointer &exchange, const nlohmann::json &body)
 {
-    ++m_writes;
+    ++m_transactions;
     const nlohmann::json empty = nlohmann::json::array();
     const bool succeeded = std::ranges::all_of(body.value("compare", empty),
                                                [this](const nlohmann::json &compare) { return comparisonSucceeds(compare); });
@@ -209,7 +211,7 @@
     }
 }
 
-void Platform::handleHosts(const Exchange &exchange)
+void Platform::handleHosts(const ExchangePointer &exchange)
 {
     const Base::Instant now = Base::now();
     if (exchange->request().method == "POST") {
@@ -225,16 +227,16 @@
         for (const auto &[name, entry] : m_hosts) {
             list.push_back(entry);
         }
-        m_hostListVersions.emplace_back(now, std::move(list));
+        m_hostListHistory.emplace_back(now, std::move(list));
         respondJson(exchange, httpOk, {{"set", true}});
         return;
     }
     // Discards versions until the front is the latest one that is at least hostListLag old.
-    while (m_hostListVersions.size() > 1 && now - m_hostListVersions[1].first >= m_options.hostListLag) {
-        m_hostListVersions.pop_front();
+    while (m_hostListHistory.size() > 1 && now - m_hostListHistory[1].first >= m_options.hostListLag) {
+        m_hostListHistory.pop_front();
     }
-    const bool visible = !m_hostListVersions.empty() && now - m_hostListVersions.front().first >= m_options.hostListLag;
-    respondJson(exchange, httpOk, visible ? m_hostListVersions.front().second : nlohmann::json::array());
+    const bool visible = !m_hostListHistory.empty() && now - m_hostListHistory.front().first >= m_options.hostListLag;
+    respondJson(exchange, httpOk, visible ? m_hostListHistory.front().second : nlohmann::json::array());
 }
 
 } // namespace Yokepond::Standin
--- a/Source/Standin/platform.h
+++ b/Source/Standin/platform.h
@@ -2,8 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Simulates the platform: a transactional table with the JSON form of etcd's v3 key-value interface, and a host list that lags
-/// behind its updates.
+/// Simulates the platform on which the hosts run: a transactional table with the JSON form of etcd's v3 key-value interface, and
+/// a host list that lags behind its updates.
 
 #pragma once
 
@@ -28,7 +28,7 @@
 struct PlatformFaults
 {
     bool down = false; ///< close the connection of every request for the table or the host list
-    Base::Duration responseDelay {}; ///< delay before a request for the table or the host list is processed
+    Base::Duration processingDelay {}; ///< delay before a request for the table or the host list is processed
     std::uint32_t lostResponsePercent = 0; ///< percentage of transactions that are applied but get no response
 };
 
@@ -41,7 +41,7 @@
     void handle(const std::shared_ptr<Http::Exchange> &exchange);
 
 private:
-    using Exchange = std::shared_ptr<Http::Exchange>;
+    using ExchangePointer = std::shared_ptr<Http::Exchange>;
 
     /// A key's value and revisions, as in etcd.
     struct Entry
@@ -52,19 +52,22 @@
         std::int64_t version = 0;
     };
 
-    void serveRequest(const Exchange &exchange);
-    void handleRange(const Exchange &exchange, const nlohmann::json &body);
-    void executeTransaction(const Exchange &exchange, const nlohmann::json &body);
+    /// Selects the handler for a request to which no fault applies, or whose delay has passed.
+    void dispatchRequest(const ExchangePointer &exchange);
+    void handleRange(const ExchangePointer &exchange, const nlohmann::json &body);
+    void handleTransaction(const ExchangePointer &exchange, const nlohmann::json &body);
     nlohmann::json rangeResponse(const nlohmann::json &body) const;
     /// Evaluates a comparison of an etcd transaction: whether the create revision, mod revision, version or value of the key
     /// equals the given one.
     bool comparisonSucceeds(const nlohmann::json &compare) const;
-    /// Applies a put, delete or range operation to the table and appends its result to @p responses.
+    /// Applies a put, delete or range operation to the table and appends its result to @p responses. A delete removes only its
+    /// first key; the end of its range is ignored.
     void applyOperation(const nlohmann::json &operation, nlohmann::json &responses);
-    /// Updates the host list (POST, "gone" removes a host), or shows it with the lag (other methods).
-    void handleHosts(const Exchange &exchange);
-    void setFaults(const Exchange &exchange);
-    void respondWithHeader(const Exchange &exchange, nlohmann::json body);
+    /// For POST, adds or updates the hosts in the body and removes those whose state is "gone". For other methods, responds with
+    /// the host list as it was hostListLag ago.
+    void handleHosts(const ExchangePointer &exchange);
+    void setFaults(const ExchangePointer &exchange);
+    void respondWithHeader(const ExchangePointer &exchange, nlohmann::json body);
     nlohmann::json responseHeader() const;
 
     Base::Loop &m_loop;
@@ -72,13 +75,14 @@
     PlatformFaults m_faults;
     std::mt19937_64 m_random;
     std::map<std::string, Entry> m_table;
-    std::int64_t m_revision = 1; ///< increases with each transaction that contains operations
+    std::int64_t m_revision = 1; ///< increases with each transaction whose selected branch has operations
     std::map<std::string, nlohmann::json> m_hosts; ///< latest entry of each host, by name
-    std::deque<std::pair<Base::Instant, nlohmann::json>> m_hostListVersions; ///< versions of the host list and their update times
-    std::uint64_t m_reads = 0;
-    std::uint64_t m_writes = 0;
-    std::uint64_t m_nextDelayId = 1;
-    std::map<std::uint64_t, std::unique_ptr<Base::Loop::Registration>> m_delayedRequests;
+    std::deque<std::pair<Base::Instant, nlohmann::json>> m_hostListHistory; ///< update times and host lists, oldest first
+    std::uint64_t m_rangeRequests = 0; ///< "reads" in /counts: requests to /v3/kv/range
+    std::uint64_t m_transactions = 0; ///< "writes" in /counts: all transactions, also those that change nothing
+    std::uint64_t m_nextTimerId = 1;
+    /// Timers of the requests that processingDelay holds back.
+    std::map<std::uint64_t, std::unique_ptr<Base::Loop::Registration>> m_delayTimers;
 };
 
 } // namespace Yokepond::Standin
--- a/Source/Standin/prefixcache.cpp
+++ b/Source/Standin/prefixcache.cpp
@@ -14,7 +14,7 @@
 {
 }
 
-std::size_t PrefixCache::lookUpAndInsert(std::string_view prompt)
+std::size_t PrefixCache::insertAndCountCachedBytes(std::string_view prompt)
 {
     std::uint64_t blockHash = 0;
     std::size_t cached = 0;
--- a/Source/Standin/prefixcache.h
+++ b/Source/Standin/prefixcache.h
@@ -22,7 +22,7 @@
     explicit PrefixCache(std::size_t blocks);
 
     /// Returns the length in bytes of the cached prefix of @p prompt, and inserts the missing complete blocks of the prompt.
-    std::size_t lookUpAndInsert(std::string_view prompt);
+    std::size_t insertAndCountCachedBytes(std::string_view prompt);
 
     /// Returns the hashes of the blocks that were inserted since the last call.
     std::vector<std::uint64_t> takeAddedBlocks();
--- a/Source/Standin/service.cpp
+++ b/Source/Standin/service.cpp
@@ -17,7 +17,7 @@
     : m_loop(loop)
     , m_options(std::move(options))
     , m_random(m_options.common.seed)
-    , m_log(m_options.common.runLog)
+    , m_log(m_options.common.runLogFile)
 {
 }
 
