--- a/Source/Language/plan.cpp
+++ b/Source/Language/plan.cpp
@@ -68,34 +68,34 @@
             object.fields.push_back(
                 {std::string(field.name), given == command.fields.end() ? std::string(field.fallback) : given->value});
         }
-        return store(std::move(object));
+        return validateAndAdd(std::move(object));
     }
 
     absl::Status operator()(const Set &command)
     {
-        const Object *present = m_objects.find(command.kind, command.name);
-        if (present == nullptr) {
+        const Object *existing = m_objects.find(command.kind, command.name);
+        if (existing == nullptr) {
             return unknownName(m_objects, command.kind, command.name);
         }
-        Object object = *present;
+        Object object = *existing;
         for (const FieldValue &given : command.fields) {
             std::ranges::find(object.fields, given.field, &FieldValue::field)->value = given.value;
         }
-        return store(std::move(object));
+        return validateAndAdd(std::move(object));
     }
 
     absl::Status operator()(const Delete &command)
     {
-        const Object *present = m_objects.find(command.kind, command.name);
-        if (present == nullptr) {
+        const Object *existing = m_objects.find(command.kind, command.name);
+        if (existing == nullptr) {
             return unknownName(m_objects, command.kind, command.name);
         }
-        if (const Object *user = m_objects.referrer(command.kind, command.name)) {
+        if (const Object *referringObject = m_objects.referrer(command.kind, command.name)) {
             return makeError(ErrorKind::InUse,
                              fmt::format("{} '{}' is used by {} '{}'; change that first", kindName(command.kind), command.name,
-                                         kindName(user->kind), user->name));
+                                         kindName(referringObject->kind), referringObject->name));
         }
-        add({Object {command.kind, command.name, present->number, {}}, true});
+        add({Object {command.kind, command.name, existing->number, {}}, true});
         return absl::OkStatus();
     }
 
@@ -122,7 +122,7 @@
     }
 
 private:
-    absl::Status store(Object object)
+    absl::Status validateAndAdd(Object object)
     {
         if (absl::Status status = checkReferences(object); !status.ok()) {
             return status;
@@ -143,8 +143,8 @@
     {
         for (const FieldSchema &field : Configuration::fieldsOf(object.kind)) {
             const std::string_view name = object.value(field.name);
-            const bool refers = field.type == FieldType::Reference && (!name.empty() || field.required);
-            if (refers && m_objects.find(field.reference, name) == nullptr) {
+            const bool mustExist = field.type == FieldType::Reference && (!name.empty() || field.required);
+            if (mustExist && m_objects.find(field.reference, name) == nullptr) {
                 return unknownName(m_objects, field.reference, name);
             }
         }
--- a/Source/Language/statement.cpp
+++ b/Source/Language/statement.cpp
@@ -32,9 +32,9 @@
 absl::Status syntaxError(std::size_t column, std::string_view expected, std::string_view found, std::string_view nearest = {})
 {
     const std::string hint = nearest.empty() ? "" : fmt::format("; did you mean '{}'?", nearest);
-    const std::string seen = found.empty() ? "the end" : fmt::format("'{}'", found);
+    const std::string foundText = found.empty() ? "the end" : fmt::format("'{}'", found);
     return Base::makeError(Base::ErrorKind::Syntax,
-                           fmt::format("column {}: expected {}, found {}{}", column, expected, seen, hint));
+                           fmt::format("column {}: expected {}, found {}{}", column, expected, foundText, hint));
 }
 
 absl::StatusOr<Token> readQuoted(std::string_view text, std::size_t &position)
@@ -53,10 +53,10 @@
     return syntaxError(token.column, "a closing quotation mark", "");
 }
 
-Token readWhile(std::string_view text, std::size_t &position, const auto &belongs)
+Token readWhile(std::string_view text, std::size_t &position, const auto &matches)
 {
     const std::size_t begin = position;
-    while (position < text.size() && belongs(text[position])) {
+    while (position < text.size() && matches(text[position])) {
         ++position;
     }
     return {std::string(text.substr(begin, position - begin)), begin + 1, false};
@@ -87,10 +87,10 @@
 }
 
 /// Reads tokens in order; the first error stays and every later read gives an empty value.
-class Reader
+class TokenReader
 {
 public:
-    explicit Reader(std::string_view text)
+    explicit TokenReader(std::string_view text)
         : m_length(text.size())
     {
         auto tokens = tokenise(text);
@@ -128,7 +128,7 @@
         }
     }
 
-    void failWith(const absl::Status &error)
+    void setError(const absl::Status &error)
     {
         if (m_error.ok()) {
             m_error = error;
@@ -136,7 +136,7 @@
     }
 
     /// Takes the next token, whatever it says.
-    std::string take(std::string_view expected)
+    std::string consume(std::string_view expected)
     {
         if (!m_error.ok() || atEnd()) {
             fail(expected);
@@ -146,7 +146,7 @@
     }
 
     /// Takes the next token if it is @p word.
-    bool takeIf(std::string_view word)
+    bool consumeIf(std::string_view word)
     {
         if (!m_error.ok() || atEnd() || m_tokens[m_next].quoted || m_tokens[m_next].text != word) {
             return false;
@@ -157,32 +157,32 @@
 
     void require(std::string_view word)
     {
-        if (!takeIf(word)) {
+        if (!consumeIf(word)) {
             fail(fmt::format("'{}'", word));
         }
     }
 
     /// Takes one of the names of @p table.
     template<typename Enum, std::size_t Size>
-    Enum takeEnum(const Base::NameTable<Enum, Size> &table, std::string_view what)
+    Enum consumeEnum(const Base::NameTable<Enum, Size> &table, std::string_view description)
     {
         const auto value = Base::valueOf(table, peek());
         if (!m_error.ok() || !value) {
             const std::vector<std::string> words = namesOf(table);
-            fail(fmt::format("{}: {}", what, absl::StrJoin(words, ", ")), Configuration::nearestWord(peek(), words));
+            fail(fmt::format("{}: {}", description, absl::StrJoin(words, ", ")), Configuration::nearestWord(peek(), words));
             return table.front().first;
         }
         ++m_next;
         return *value;
     }
 
-    std::string takeName(std::string_view what)
+    std::string consumeName(std::string_view description)
     {
         if (!Configuration::validName(peek())) {
-            fail(fmt::format("{} (letters, digits, '-', '_', '.'; at most 64)", what));
+            fail(fmt::format("{} (letters, digits, '-', '_', '.'; at most 64)", description));
             return {};
         }
-        return take(what);
+        return consume(description);
     }
 
     void requireEnd()
@@ -215,7 +215,7 @@
     return names;
 }
 
-FieldValue readField(Reader &reader, Kind kind)
+FieldValue readField(TokenReader &reader, Kind kind)
 {
     const auto schemas = Configuration::fieldsOf(kind);
     const auto schema = std::ranges::find(schemas, reader.peek(), &FieldSchema::name);
@@ -225,19 +225,19 @@
                     Configuration::nearestWord(reader.peek(), names));
         return {};
     }
-    reader.take("a field");
+    reader.consume("a field");
     const std::size_t column = reader.column();
-    const std::string text = reader.take(fmt::format("a value for {}", schema->name));
+    const std::string text = reader.consume(fmt::format("a value for {}", schema->name));
     const auto value = Configuration::canonicalValue(*schema, text);
     if (!value.ok()) {
-        reader.failWith(Base::makeError(Base::errorKind(value.status()),
+        reader.setError(Base::makeError(Base::errorKind(value.status()),
                                         fmt::format("column {}: {}", column, Base::messageOf(value.status()))));
         return {};
     }
     return {std::string(schema->name), *value};
 }
 
-std::vector<FieldValue> readFields(Reader &reader, Kind kind)
+std::vector<FieldValue> readFields(TokenReader &reader, Kind kind)
 {
     std::vector<FieldValue> fields;
     while (reader.error().ok() && !reader.atEnd()) {
@@ -262,23 +262,23 @@
     {Verb::Release, "release"},
 }};
 
-Command readCommand(Reader &reader)
+Command readCommand(TokenReader &reader)
 {
-    const Verb verb = reader.takeEnum(verbNames, "a command");
+    const Verb verb = reader.consumeEnum(verbNames, "a command");
     if (verb == Verb::Drain || verb == Verb::Resume) {
         reader.require("endpoint");
-        return Drain {reader.takeName("the name of an endpoint"), verb == Verb::Drain};
+        return Drain {reader.consumeName("the name of an endpoint"), verb == Verb::Drain};
     }
     if (verb == Verb::Cancel) {
         reader.require("request");
-        return CancelRequest {reader.take("a request id")};
+        return CancelRequest {reader.consume("a request id")};
     }
     if (verb == Verb::Release) {
         reader.require("work");
-        return ReleaseWork {reader.take("the work as `show quarantine` names it")};
+        return ReleaseWork {reader.consume("the work as `show quarantine` names it")};
     }
-    const Kind kind = reader.takeEnum(Configuration::kindNames, "a kind");
-    std::string name = reader.takeName(fmt::format("the name of a {}", Base::nameOf(Configuration::kindNames, kind)));
+    const Kind kind = reader.consumeEnum(Configuration::kindNames, "a kind");
+    std::string name = reader.consumeName(fmt::format("the name of a {}", Base::nameOf(Configuration::kindNames, kind)));
     if (verb == Verb::Delete) {
         return Delete {kind, std::move(name)};
     }
@@ -299,35 +299,35 @@
     {Comparison::Greater, ">"},
 }};
 
-Condition readCondition(Reader &reader)
+Condition readCondition(TokenReader &reader)
 {
     Condition condition;
-    condition.field = reader.take("a field");
-    condition.comparison = reader.takeEnum(comparisonNames, "a comparison");
-    condition.value = reader.take("a value");
+    condition.field = reader.consume("a field");
+    condition.comparison = reader.consumeEnum(comparisonNames, "a comparison");
+    condition.value = reader.consume("a value");
     return condition;
 }
 
-Show readShow(Reader &reader)
+Show readShow(TokenReader &reader)
 {
     Show show;
-    show.subject = reader.takeEnum(subjectNames, "what to show");
-    if (reader.takeIf("where")) {
+    show.subject = reader.consumeEnum(subjectNames, "what to show");
+    if (reader.consumeIf("where")) {
         do {
             show.conditions.push_back(readCondition(reader));
-        } while (reader.takeIf("and"));
+        } while (reader.consumeIf("and"));
     }
-    if (reader.takeIf("order")) {
+    if (reader.consumeIf("order")) {
         reader.require("by");
-        show.ordering = Ordering {reader.take("a field"), false};
-        show.ordering->descending = reader.takeIf("desc");
+        show.ordering = Ordering {reader.consume("a field"), false};
+        show.ordering->descending = reader.consumeIf("desc");
     }
-    if (reader.takeIf("limit")) {
+    if (reader.consumeIf("limit")) {
         std::size_t limit = 0;
         if (!Base::parseInteger(reader.peek(), &limit)) {
             reader.fail("a whole number");
         }
-        reader.take("a whole number");
+        reader.consume("a whole number");
         show.limit = limit;
     }
     return show;
@@ -337,19 +337,19 @@
 
 constexpr Base::NameTable<QueryVerb, 2> queryVerbNames = {{{QueryVerb::Show, "show"}, {QueryVerb::Why, "why"}}};
 
-Query readQuery(Reader &reader)
+Query readQuery(TokenReader &reader)
 {
-    if (reader.takeEnum(queryVerbNames, "a query") == QueryVerb::Show) {
+    if (reader.consumeEnum(queryVerbNames, "a query") == QueryVerb::Show) {
         return readShow(reader);
     }
-    const WhySubject subject = reader.takeEnum(whySubjectNames, "whose reasons to tell");
-    return Why {subject, reader.take("a name or id")};
+    const WhySubject subject = reader.consumeEnum(whySubjectNames, "whose reasons to tell");
+    return Why {subject, reader.consume("a name or id")};
 }
 
 template<typename Statement>
-absl::StatusOr<Statement> parseWhole(std::string_view text, Statement (*read)(Reader &))
+absl::StatusOr<Statement> parseWhole(std::string_view text, Statement (*read)(TokenReader &))
 {
-    Reader reader(text);
+    TokenReader reader(text);
     Statement statement = read(reader);
     reader.requireEnd();
     if (!reader.error().ok()) {
--- a/Source/Load/arrivals.h
+++ b/Source/Load/arrivals.h
@@ -24,6 +24,6 @@
 };
 
 /// All arrivals in order of time; the same for the same seed. @p factor multiplies all rates.
-std::vector<Arrival> drawArrivals(const Scenario &scenario, std::uint64_t seed, double factor);
+std::vector<Arrival> generateArrivals(const Scenario &scenario, std::uint64_t seed, double factor);
 
 } // namespace Yokepond::Load
--- a/Source/Load/loadprogram.cpp
+++ b/Source/Load/loadprogram.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::string_view programName = "yokepond-load";
 
-int tell(const absl::Status &error)
+int reportError(const absl::Status &error)
 {
     fmt::print(stderr, "{}: {}\n", programName, Base::messageOf(error));
     return Base::exitFailed;
@@ -37,8 +37,8 @@
 int runLoadProgram(int argc, const char *const *argv)
 {
     namespace options = boost::program_options;
-    Base::OptionDescriptions described("Options");
-    described.add_options()("scenario", options::value<std::string>()->required(), "what to send (INI)")(
+    Base::OptionDescriptions descriptions("Options");
+    descriptions.add_options()("scenario", options::value<std::string>()->required(), "what to send (INI)")(
         "fleet", options::value<std::string>()->required(),
         "the fleet.json of a local fleet")("seed", options::value<std::uint64_t>()->default_value(1), "seed of all arrivals")(
         "factor", options::value<double>()->default_value(1),
@@ -50,30 +50,31 @@
         std::string(programName), "sends an open-loop load to a fleet and reports attainment, goodput and wasted work",
         "--scenario FILE --fleet FILE [options]",
         "  yokepond-load --scenario Utilities/scenarios/storm-front.ini --fleet /tmp/fleet/fleet.json --svg storm.svg\n"};
-    if (const auto code = Base::parseCommandLine(info, argc, argv, described, {}, values)) {
+    if (const auto code = Base::parseCommandLine(info, argc, argv, descriptions, {}, values)) {
         return *code;
     }
     auto ini = Base::IniFile::load(values["scenario"].as<std::string>());
     if (!ini.ok()) {
-        return tell(ini.status());
+        return reportError(ini.status());
     }
     const auto scenario = parseScenario(std::move(*ini));
     if (!scenario.ok()) {
-        return tell(scenario.status());
+        return reportError(scenario.status());
     }
     auto fleet = loadFleet(values["fleet"].as<std::string>());
     if (!fleet.ok()) {
-        return tell(fleet.status());
+        return reportError(fleet.status());
     }
-    RunFacts facts {values["label"].as<std::string>(), values["seed"].as<std::uint64_t>(), values["factor"].as<double>(), 0};
-    Runner runner(*scenario, std::move(*fleet), drawArrivals(*scenario, facts.seed, facts.factor));
-    const std::uint64_t before = runner.engineTokens();
+    RunMetadata metadata {values["label"].as<std::string>(), values["seed"].as<std::uint64_t>(), values["factor"].as<double>(),
+                          0};
+    Runner runner(*scenario, std::move(*fleet), generateArrivals(*scenario, metadata.seed, metadata.factor));
+    const std::uint64_t tokensBefore = runner.engineTokens();
     const std::vector<Sample> samples = runner.run();
-    facts.engineTokens = runner.engineTokens() - before;
-    const nlohmann::json summary = summarise(*scenario, samples, facts);
+    metadata.engineTokens = runner.engineTokens() - tokensBefore;
+    const nlohmann::json summary = summarise(*scenario, samples, metadata);
     fmt::print("{}", renderReport(summary));
     writeFile(values["json"].as<std::string>(), summary.dump(1) + "\n");
-    writeFile(values["svg"].as<std::string>(), renderPlot(*scenario, samples, facts));
+    writeFile(values["svg"].as<std::string>(), renderPlot(*scenario, samples, metadata));
     return Base::exitOk;
 }
 
--- a/Source/Load/report.cpp
+++ b/Source/Load/report.cpp
@@ -15,17 +15,17 @@
 namespace {
 
 /// The value below which the part @p share of the sorted @p values lies, in milliseconds.
-double percentile(std::vector<Base::Duration> &values, double share)
+double percentile(std::vector<Base::Duration> &values, double fraction)
 {
     if (values.empty()) {
         return 0;
     }
-    const auto rank = static_cast<std::size_t>(share * static_cast<double>(values.size() - 1));
+    const auto rank = static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1));
     std::ranges::nth_element(values, values.begin() + static_cast<std::ptrdiff_t>(rank));
     return Base::milliseconds(values[rank]);
 }
 
-double share(std::uint64_t part, std::uint64_t whole)
+double ratio(std::uint64_t part, std::uint64_t whole)
 {
     return whole == 0 ? 1 : static_cast<double>(part) / static_cast<double>(whole);
 }
@@ -33,7 +33,7 @@
 nlohmann::json summariseClass(const ClassLoad &load, const std::vector<const Sample *> &samples)
 {
     std::array<std::uint64_t, resultNames.size()> counts {};
-    std::uint64_t within = 0;
+    std::uint64_t attainedCount = 0;
     std::uint64_t firstTokenMet = 0;
     std::uint64_t gapMet = 0;
     std::uint64_t deadlineMet = 0;
@@ -53,7 +53,7 @@
         gapMet += sample->meanGap <= load.tokenGap ? 1 : 0;
         deadlineMet += sample->total <= load.deadline ? 1 : 0;
         if (attained(load, *sample)) {
-            ++within;
+            ++attainedCount;
             goodTokens += sample->tokens;
         }
     }
@@ -61,10 +61,10 @@
     nlohmann::json summary = {
         {"class", load.name},
         {"offered", offered},
-        {"attained", share(within, offered)},
-        {"attained-first-token", share(firstTokenMet, offered)},
-        {"attained-gap", share(gapMet, offered)},
-        {"attained-deadline", share(deadlineMet, offered)},
+        {"attained", ratio(attainedCount, offered)},
+        {"attained-first-token", ratio(firstTokenMet, offered)},
+        {"attained-gap", ratio(gapMet, offered)},
+        {"attained-deadline", ratio(deadlineMet, offered)},
         {"good-tokens", goodTokens},
         {"first-token-ms",
          {{"p50", percentile(firstTokens, 0.5)}, {"p95", percentile(firstTokens, 0.95)}, {"p99", percentile(firstTokens, 0.99)}}},
@@ -101,31 +101,32 @@
         && sample.total <= load.deadline;
 }
 
-nlohmann::json summarise(const Scenario &scenario, const std::vector<Sample> &samples, const RunFacts &facts)
+nlohmann::json summarise(const Scenario &scenario, const std::vector<Sample> &samples, const RunMetadata &metadata)
 {
     nlohmann::json classes = nlohmann::json::array();
     std::uint64_t goodTokens = 0;
     for (std::size_t index = 0; index < scenario.classes.size(); ++index) {
-        std::vector<const Sample *> ofClass;
+        std::vector<const Sample *> classSamples;
         for (const Sample &sample : samples) {
             if (sample.classIndex == index && sample.due >= scenario.warmUp) {
-                ofClass.push_back(&sample);
+                classSamples.push_back(&sample);
             }
         }
-        classes.push_back(summariseClass(scenario.classes[index], ofClass));
+        classes.push_back(summariseClass(scenario.classes[index], classSamples));
         goodTokens += classes.back()["good-tokens"].get<std::uint64_t>();
     }
     const std::uint64_t useful = usefulTokens(scenario, samples);
-    const std::uint64_t wasted = facts.engineTokens > useful ? facts.engineTokens - useful : 0;
-    const double counted = Base::seconds(scenario.duration - scenario.warmUp);
+    const std::uint64_t wasted = metadata.engineTokens > useful ? metadata.engineTokens - useful : 0;
+    const double countedSeconds = Base::seconds(scenario.duration - scenario.warmUp);
     return {{"scenario", scenario.name},
-            {"label", facts.label},
-            {"seed", facts.seed},
-            {"factor", facts.factor},
-            {"seconds", counted},
-            {"goodput-tokens-per-second", static_cast<double>(goodTokens) / counted},
-            {"engine-tokens", facts.engineTokens},
-            {"wasted-share", facts.engineTokens == 0 ? 0 : static_cast<double>(wasted) / static_cast<double>(facts.engineTokens)},
+            {"label", metadata.label},
+            {"seed", metadata.seed},
+            {"factor", metadata.factor},
+            {"seconds", countedSeconds},
+            {"goodput-tokens-per-second", static_cast<double>(goodTokens) / countedSeconds},
+            {"engine-tokens", metadata.engineTokens},
+            {"wasted-share",
+             metadata.engineTokens == 0 ? 0 : static_cast<double>(wasted) / static_cast<double>(metadata.engineTokens)},
             {"classes", classes}};
 }
 
@@ -151,7 +152,7 @@
     return text;
 }
 
-std::string renderPlot(const Scenario &scenario, const std::vector<Sample> &samples, const RunFacts &facts)
+std::string renderPlot(const Scenario &scenario, const std::vector<Sample> &samples, const RunMetadata &metadata)
 {
     const double seconds = Base::seconds(scenario.duration);
     const auto horizontal = [&](double second) { return plotMargin + second / seconds * (plotWidth - 2 * plotMargin); };
@@ -160,7 +161,7 @@
         = fmt::format(R"(<svg xmlns="http://www.w3.org/2000/svg" width="{0}" height="{1}" font-family="sans-serif" font-size="12">
 <rect width="{0}" height="{1}" fill="white"/><text x="{2}" y="20">{3} [{4}]: share of requests within target, by second they were due</text>
 )",
-                      plotWidth, plotHeight, plotMargin, scenario.name, facts.label);
+                      plotWidth, plotHeight, plotMargin, scenario.name, metadata.label);
     for (const double part : {0.0, 0.5, 1.0}) {
         svg += fmt::format(
             R"(<line x1="{}" y1="{:.1f}" x2="{}" y2="{:.1f}" stroke="#ddd"/><text x="8" y="{:.1f}">{:.0f} %</text>)"
@@ -171,8 +172,8 @@
         std::map<int, std::pair<int, int>> bySecond; // within target, all
         for (const Sample &sample : samples) {
             if (sample.classIndex == index) {
-                auto &[within, all] = bySecond[static_cast<int>(Base::seconds(sample.due))];
-                within += attained(scenario.classes[index], sample) ? 1 : 0;
+                auto &[attainedCount, all] = bySecond[static_cast<int>(Base::seconds(sample.due))];
+                attainedCount += attained(scenario.classes[index], sample) ? 1 : 0;
                 ++all;
             }
         }
--- a/Source/Load/report.h
+++ b/Source/Load/report.h
@@ -17,15 +17,15 @@
 
 namespace Yokepond::Load {
 
-enum class Result { Completed, Refused, Unknown, Failed, Wrong, Unanswered };
+enum class Result { Completed, Refused, Unknown, Failed, WrongResponse, NoResponse };
 
 inline constexpr Base::NameTable<Result, 6> resultNames = {{
     {Result::Completed, "completed"},
     {Result::Refused, "refused"}, ///< told as not run
     {Result::Unknown, "unknown"},
     {Result::Failed, "failed"}, ///< the connection broke, or another error
-    {Result::Wrong, "wrong"}, ///< not the whole answer to its own request
-    {Result::Unanswered, "unanswered"},
+    {Result::WrongResponse, "wrong"}, ///< not the whole answer to its own request
+    {Result::NoResponse, "unanswered"},
 }};
 
 /// One request, timed from when it was due, so that a slow sender hides nothing.
@@ -33,7 +33,7 @@
 {
     std::size_t classIndex = 0;
     Base::Duration due {};
-    Result result = Result::Unanswered;
+    Result result = Result::NoResponse;
     Base::Duration firstToken {};
     Base::Duration total {};
     Base::Duration meanGap {};
@@ -44,7 +44,7 @@
 /// Whether the request was answered whole and within all three targets of its class.
 bool attained(const ClassLoad &load, const Sample &sample);
 
-struct RunFacts
+struct RunMetadata
 {
     std::string label;
     std::uint64_t seed = 0;
@@ -53,12 +53,12 @@
 };
 
 /// The figures of each class and of the whole run.
-nlohmann::json summarise(const Scenario &scenario, const std::vector<Sample> &samples, const RunFacts &facts);
+nlohmann::json summarise(const Scenario &scenario, const std::vector<Sample> &samples, const RunMetadata &metadata);
 
 /// The summary as a table for people.
 std::string renderReport(const nlohmann::json &summary);
 
 /// Attainment of each class by second of the run, as an SVG picture.
-std::string renderPlot(const Scenario &scenario, const std::vector<Sample> &samples, const RunFacts &facts);
+std::string renderPlot(const Scenario &scenario, const std::vector<Sample> &samples, const RunMetadata &metadata);
 
 } // namespace Yokepond::Load
--- a/Source/Load/runner.cpp
+++ b/Source/Load/runner.cpp
@@ -17,27 +17,27 @@
 namespace {
 
 constexpr Base::Duration sendPeriod = std::chrono::milliseconds(2);
-constexpr std::size_t clients = 32;
-constexpr std::size_t keptConnections = 32;
+constexpr std::size_t clientCount = 32;
+constexpr std::size_t idleConnectionsPerClient = 32;
 constexpr int httpOk = 200;
 constexpr int httpCreated = 201;
 
 } // namespace
 
 /// A request whose answer has not ended.
-struct Runner::Open
+struct Runner::OpenRequest
 {
     std::size_t index = 0;
-    std::string expected; ///< what every token of the answer begins with
+    std::string tokenPrefix; ///< what every token of the answer begins with
     int status = 0;
     std::string outcome;
     std::string body;
     Relay::EventSplitter splitter;
     std::uint32_t tokens = 0;
-    bool done = false;
+    bool doneReceived = false;
     bool wrong = false;
-    Base::Instant first {};
-    Base::Instant last {};
+    Base::Instant firstTokenAt {};
+    Base::Instant lastTokenAt {};
 };
 
 absl::StatusOr<FleetAccess> loadFleet(const std::string &file)
@@ -68,8 +68,8 @@
     , m_fleet(std::move(fleet))
     , m_arrivals(std::move(arrivals))
 {
-    std::ranges::generate_n(std::back_inserter(m_clients), clients,
-                            [this] { return std::make_unique<Http::Client>(m_loop, keptConnections); });
+    std::ranges::generate_n(std::back_inserter(m_clients), clientCount,
+                            [this] { return std::make_unique<Http::Client>(m_loop, idleConnectionsPerClient); });
 }
 
 Http::Client &Runner::client(std::size_t index)
@@ -94,27 +94,27 @@
     }
     m_start = Base::now();
     const auto timer = m_loop.every(sendPeriod, [this] {
-        sendDue();
-        setFaults();
-        const Base::Duration passed = Base::now() - m_start;
-        const bool allEnded = m_next == m_arrivals.size() && m_open.empty() && passed >= m_scenario.duration;
-        if (allEnded || passed >= m_scenario.duration + m_scenario.drain) {
+        sendDueRequests();
+        injectFaults();
+        const Base::Duration elapsed = Base::now() - m_start;
+        const bool allFinished = m_next == m_arrivals.size() && m_openRequests.empty() && elapsed >= m_scenario.duration;
+        if (allFinished || elapsed >= m_scenario.duration + m_scenario.drain) {
             m_loop.stop();
         }
     });
     m_loop.run();
     // What has not been answered by now is cut; a later loop needs low descriptors.
     m_clients.clear();
-    m_open.clear();
+    m_openRequests.clear();
     return m_samples;
 }
 
-void Runner::sendDue()
+void Runner::sendDueRequests()
 {
-    const Base::Duration passed = Base::now() - m_start;
-    while (m_next < m_arrivals.size() && m_arrivals[m_next].at <= passed) {
+    const Base::Duration elapsed = Base::now() - m_start;
+    while (m_next < m_arrivals.size() && m_arrivals[m_next].at <= elapsed) {
         const std::size_t index = m_next++;
-        m_scenario.classes[m_arrivals[index].classIndex].service ? sendService(index) : send(index);
+        m_scenario.classes[m_arrivals[index].classIndex].service ? sendServiceCall(index) : sendCompletion(index);
     }
 }
 
@@ -126,8 +126,8 @@
         text = fmt::format("{}-{} ", load.name, arrival.prefix);
         text.resize(load.prefixBytes, 'p');
     }
-    const std::string own = fmt::format("{:016x} ", arrival.nonce);
-    text += own;
+    const std::string uniquePart = fmt::format("{:016x} ", arrival.nonce);
+    text += uniquePart;
     text.resize(std::max(text.size(), load.prefixBytes + load.promptBytes), 'q');
     return text;
 }
@@ -141,118 +141,119 @@
             {"Content-Type", "application/json"}};
 }
 
-void Runner::send(std::size_t index)
+void Runner::sendCompletion(std::size_t index)
 {
     const Arrival &arrival = m_arrivals[index];
     const std::string text = prompt(arrival);
-    auto open = std::make_unique<Open>();
-    open->index = index;
+    auto request = std::make_unique<OpenRequest>();
+    request->index = index;
     // The engine's stand-in makes every token from a hash of the prompt with its line ends.
-    open->expected = fmt::format("{:08x}:", Base::hash64(text + "\n") & 0xffffffffU);
-    m_open[index] = std::move(open);
+    request->tokenPrefix = fmt::format("{:08x}:", Base::hash64(text + "\n") & 0xffffffffU);
+    m_openRequests[index] = std::move(request);
     const nlohmann::json body
         = {{"messages", {{{"role", "user"}, {"content", text}}}}, {"stream", true}, {"max_tokens", arrival.tokens}};
-    begin(index,
-          {.method = "POST",
-           .url = fmt::format("http://{}/v1/chat/completions", host(index)),
-           .headers = headers(arrival),
-           .body = body.dump()});
+    startTransfer(index,
+                  {.method = "POST",
+                   .url = fmt::format("http://{}/v1/chat/completions", host(index)),
+                   .headers = headers(arrival),
+                   .body = body.dump()});
 }
 
-void Runner::sendService(std::size_t index)
+void Runner::sendServiceCall(std::size_t index)
 {
     const Arrival &arrival = m_arrivals[index];
-    m_open[index] = std::make_unique<Open>();
-    m_open[index]->index = index;
+    m_openRequests[index] = std::make_unique<OpenRequest>();
+    m_openRequests[index]->index = index;
     Http::Transfer ticket {
         .method = "POST", .url = fmt::format("http://{}/v1/tickets", host(index)), .headers = headers(arrival)};
     fetch(client(index), std::move(ticket), [this, index, arrival](const Http::TransferResult &result, const std::string &body) {
         if (result.status != httpCreated) {
-            ended(index, result);
+            requestFinished(index, result);
             return;
         }
-        Http::Headers all = headers(arrival);
-        all.push_back({"Idempotency-Key", nlohmann::json::parse(body, nullptr, false).value("ticket", "")});
+        Http::Headers callHeaders = headers(arrival);
+        callHeaders.push_back({"Idempotency-Key", nlohmann::json::parse(body, nullptr, false).value("ticket", "")});
         const std::string &pool = m_scenario.classes[arrival.classIndex].pool;
-        begin(index,
-              {.method = "POST",
-               .url = fmt::format("http://{}/v1/services/{}/do", host(index), pool),
-               .headers = all,
-               .body = "{}"});
+        startTransfer(index,
+                      {.method = "POST",
+                       .url = fmt::format("http://{}/v1/services/{}/do", host(index), pool),
+                       .headers = callHeaders,
+                       .body = "{}"});
     });
 }
 
-void Runner::begin(std::size_t index, Http::Transfer transfer)
+void Runner::startTransfer(std::size_t index, Http::Transfer transfer)
 {
     Http::TransferEvents events;
-    events.onHeaders = [this, index](int status, const Http::Headers &answerHeaders) {
-        Open &open = *m_open.at(index);
-        open.status = status;
-        open.outcome = Http::headerValue(answerHeaders, "yokepond-outcome").value_or("");
+    events.onHeaders = [this, index](int status, const Http::Headers &responseHeaders) {
+        OpenRequest &request = *m_openRequests.at(index);
+        request.status = status;
+        request.outcome = Http::headerValue(responseHeaders, "yokepond-outcome").value_or("");
     };
-    events.onBytes = [this, index](std::string_view bytes) { received(*m_open.at(index), bytes); };
-    events.onEnd = [this, index](const Http::TransferResult &result) { ended(index, result); };
+    events.onBytes = [this, index](std::string_view bytes) { processBytes(*m_openRequests.at(index), bytes); };
+    events.onEnd = [this, index](const Http::TransferResult &result) { requestFinished(index, result); };
     client(index).start(std::move(transfer), std::move(events));
 }
 
-void Runner::received(Open &open, std::string_view bytes)
+void Runner::processBytes(OpenRequest &request, std::string_view bytes)
 {
-    const bool stream = open.status == httpOk && !m_scenario.classes[m_arrivals[open.index].classIndex].service;
+    const bool stream = request.status == httpOk && !m_scenario.classes[m_arrivals[request.index].classIndex].service;
     if (!stream) {
-        open.body.append(bytes);
+        request.body.append(bytes);
         return;
     }
     const Base::Instant now = Base::now();
-    for (const Relay::ServerSentEvent &event : open.splitter.feed(bytes)) {
+    for (const Relay::ServerSentEvent &event : request.splitter.feed(bytes)) {
         if (event.isDone) {
-            open.done = true;
+            request.doneReceived = true;
             continue;
         }
-        ++open.tokens;
+        ++request.tokens;
         // Whole, in order, of the own request, and none twice.
-        open.wrong = open.wrong || event.isError
-            || event.bytes.find(fmt::format("{}{} ", open.expected, open.tokens)) == std::string::npos;
-        open.first = open.tokens == 1 ? now : open.first;
-        open.last = now;
+        request.wrong = request.wrong || event.isError
+            || event.bytes.find(fmt::format("{}{} ", request.tokenPrefix, request.tokens)) == std::string::npos;
+        request.firstTokenAt = request.tokens == 1 ? now : request.firstTokenAt;
+        request.lastTokenAt = now;
     }
 }
 
-Result Runner::judge(const Open &open, const Http::TransferResult &result) const
+Result Runner::classifyResult(const OpenRequest &request, const Http::TransferResult &result) const
 {
-    const Arrival &arrival = m_arrivals[open.index];
+    const Arrival &arrival = m_arrivals[request.index];
     const bool service = m_scenario.classes[arrival.classIndex].service;
-    if (open.status == httpOk && service) {
+    if (request.status == httpOk && service) {
         return result.stage == Http::TransferStage::Complete ? Result::Completed : Result::Failed;
     }
-    if (open.status == httpOk) {
-        const bool whole = open.done && open.tokens == arrival.tokens;
-        return open.wrong && open.done ? Result::Wrong : (whole ? Result::Completed : Result::Failed);
+    if (request.status == httpOk) {
+        const bool complete = request.doneReceived && request.tokens == arrival.tokens;
+        return request.wrong && request.doneReceived ? Result::WrongResponse : (complete ? Result::Completed : Result::Failed);
     }
-    if (open.outcome == "not-run") {
+    if (request.outcome == "not-run") {
         return Result::Refused;
     }
-    return open.outcome == "unknown" ? Result::Unknown : Result::Failed;
+    return request.outcome == "unknown" ? Result::Unknown : Result::Failed;
 }
 
-void Runner::ended(std::size_t index, const Http::TransferResult &result)
+void Runner::requestFinished(std::size_t index, const Http::TransferResult &result)
 {
-    const std::unique_ptr<Open> open = std::move(m_open.at(index));
-    m_open.erase(index);
+    const std::unique_ptr<OpenRequest> request = std::move(m_openRequests.at(index));
+    m_openRequests.erase(index);
     Sample &sample = m_samples[index];
     const Base::Instant due = m_start + sample.due;
-    sample.result = judge(*open, result);
-    sample.status = open->status;
+    sample.result = classifyResult(*request, result);
+    sample.status = request->status;
     sample.total = Base::now() - due;
-    sample.tokens = open->tokens;
-    sample.firstToken = open->tokens > 0 ? open->first - due : sample.total;
-    sample.meanGap = open->tokens > 1 ? (open->last - open->first) / (open->tokens - 1) : Base::Duration::zero();
+    sample.tokens = request->tokens;
+    sample.firstToken = request->tokens > 0 ? request->firstTokenAt - due : sample.total;
+    sample.meanGap
+        = request->tokens > 1 ? (request->lastTokenAt - request->firstTokenAt) / (request->tokens - 1) : Base::Duration::zero();
 }
 
-void Runner::setFaults()
+void Runner::injectFaults()
 {
-    const Base::Duration passed = Base::now() - m_start;
-    while (m_nextFault < m_scenario.faults.size() && m_scenario.faults[m_nextFault].at <= passed) {
-        const FaultAt &fault = m_scenario.faults[m_nextFault++];
+    const Base::Duration elapsed = Base::now() - m_start;
+    while (m_nextFault < m_scenario.faults.size() && m_scenario.faults[m_nextFault].at <= elapsed) {
+        const ScheduledFault &fault = m_scenario.faults[m_nextFault++];
         const auto target = m_fleet.targets.find(fault.target);
         if (target != m_fleet.targets.end()) {
             fetch(client(0), {.method = "POST", .url = fmt::format("http://{}/faults", target->second), .body = fault.body},
@@ -264,7 +265,7 @@
 std::uint64_t Runner::engineTokens()
 {
     std::uint64_t tokens = 0;
-    std::size_t left = m_fleet.engines.size();
+    std::size_t pending = m_fleet.engines.size();
     Base::Loop loop;
     Http::Client client(loop);
     for (const std::string &engine : m_fleet.engines) {
@@ -272,12 +273,12 @@
         fetch(client, std::move(transfer), [&](const Http::TransferResult &, const std::string &body) {
             const nlohmann::json counts = nlohmann::json::parse(body, nullptr, false);
             tokens += counts.is_object() ? counts.value("tokens", std::uint64_t {0}) : 0;
-            if (--left == 0) {
+            if (--pending == 0) {
                 loop.stop();
             }
         });
     }
-    if (left > 0) {
+    if (pending > 0) {
         loop.run();
     }
     return tokens;
--- a/Source/Load/runner.h
+++ b/Source/Load/runner.h
@@ -47,16 +47,16 @@
     std::uint64_t engineTokens();
 
 private:
-    struct Open;
+    struct OpenRequest;
 
-    void sendDue();
-    void send(std::size_t index);
-    void sendService(std::size_t index);
-    void begin(std::size_t index, Http::Transfer transfer);
-    void received(Open &open, std::string_view bytes);
-    void ended(std::size_t index, const Http::TransferResult &result);
-    Result judge(const Open &open, const Http::TransferResult &result) const;
-    void setFaults();
+    void sendDueRequests();
+    void sendCompletion(std::size_t index);
+    void sendServiceCall(std::size_t index);
+    void startTransfer(std::size_t index, Http::Transfer transfer);
+    void processBytes(OpenRequest &request, std::string_view bytes);
+    void requestFinished(std::size_t index, const Http::TransferResult &result);
+    Result classifyResult(const OpenRequest &request, const Http::TransferResult &result) const;
+    void injectFaults();
     std::string prompt(const Arrival &arrival) const;
     Http::Headers headers(const Arrival &arrival) const;
     const std::string &host(std::size_t index) const;
@@ -69,7 +69,7 @@
     /// libcurl looks through all connections of a client for one to use again; many clients keep that short.
     std::vector<std::unique_ptr<Http::Client>> m_clients;
     std::vector<Sample> m_samples;
-    std::map<std::size_t, std::unique_ptr<Open>> m_open;
+    std::map<std::size_t, std::unique_ptr<OpenRequest>> m_openRequests;
     std::size_t m_next = 0;
     std::size_t m_nextFault = 0;
     Base::Instant m_start {};
--- a/Source/Load/scenario.h
+++ b/Source/Load/scenario.h
@@ -50,7 +50,7 @@
 };
 
 /// A body sent to an endpoint's or the platform's /faults.
-struct FaultAt
+struct ScheduledFault
 {
     Base::Duration at {};
     std::string target; ///< name of an endpoint, or `platform`
@@ -65,7 +65,7 @@
     Base::Duration drain {}; ///< answers are awaited this long after the last request
     std::vector<ClassLoad> classes;
     std::vector<Burst> bursts;
-    std::vector<FaultAt> faults;
+    std::vector<ScheduledFault> faults;
 };
 
 /// Fails with ErrorKind::InvalidSettings.
--- a/Source/Tool/completion.cpp
+++ b/Source/Tool/completion.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 template<typename Table>
-std::string words(const Table &table)
+std::string joinNames(const Table &table)
 {
     std::string text;
     for (const auto &[value, name] : table) {
@@ -43,7 +43,8 @@
 }}
 complete -F _yokepond yokepond
 )",
-                       words(Language::subjectNames), words(Language::whySubjectNames), words(Configuration::kindNames));
+                       joinNames(Language::subjectNames), joinNames(Language::whySubjectNames),
+                       joinNames(Configuration::kindNames));
 }
 
 } // namespace Yokepond::Tool
--- a/Source/Tool/operatorclient.cpp
+++ b/Source/Tool/operatorclient.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr Base::Duration answerTimeout = std::chrono::seconds(30);
+constexpr Base::Duration responseTimeout = std::chrono::seconds(30);
 
 } // namespace
 
-OperatorAnswer askHost(const OperatorAccess &access, const std::string &method, const std::string &path,
-                       const Http::Headers &headers, const std::string &body)
+OperatorResponse sendOperatorRequest(const OperatorAccess &access, const std::string &method, const std::string &path,
+                                     const Http::Headers &headers, const std::string &body)
 {
     Base::Loop loop;
     Http::Client client(loop);
@@ -24,15 +24,15 @@
                              .url = fmt::format("http://{}{}", access.host, path),
                              .headers = headers,
                              .body = body,
-                             .totalTimeout = answerTimeout};
+                             .totalTimeout = responseTimeout};
     transfer.headers.push_back({"Authorization", fmt::format("Bearer {}", access.key)});
-    OperatorAnswer answer;
+    OperatorResponse response;
     fetch(client, std::move(transfer), [&](const Http::TransferResult &result, std::string text) {
-        answer = {result.stage == Http::TransferStage::Complete, result.status, std::move(text), result.detail};
+        response = {result.stage == Http::TransferStage::Complete, result.status, std::move(text), result.detail};
         loop.stop();
     });
     loop.run();
-    return answer;
+    return response;
 }
 
 } // namespace Yokepond::Tool
--- a/Source/Tool/operatorclient.h
+++ b/Source/Tool/operatorclient.h
@@ -12,7 +12,7 @@
 
 namespace Yokepond::Tool {
 
-struct OperatorAnswer
+struct OperatorResponse
 {
     bool reached = false;
     int status = 0;
@@ -28,7 +28,7 @@
 };
 
 /// Sends @p body with POST, or GET if @p method says so, and waits for the answer.
-OperatorAnswer askHost(const OperatorAccess &access, const std::string &method, const std::string &path,
-                       const Http::Headers &headers, const std::string &body);
+OperatorResponse sendOperatorRequest(const OperatorAccess &access, const std::string &method, const std::string &path,
+                                     const Http::Headers &headers, const std::string &body);
 
 } // namespace Yokepond::Tool
--- a/Source/Tool/table.cpp
+++ b/Source/Tool/table.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr std::string_view bold = "\033[1m";
-constexpr std::string_view plain = "\033[0m";
-constexpr std::string_view gap = "  ";
+constexpr std::string_view resetStyle = "\033[0m";
+constexpr std::string_view columnGap = "  ";
 
 std::string cell(const nlohmann::json &row, const std::string &column)
 {
@@ -34,18 +34,18 @@
     std::string text;
     for (std::size_t index = 0; index < cells.size(); ++index) {
         const bool last = index + 1 == cells.size();
-        text += last ? cells[index] : fmt::format("{:<{}}{}", cells[index], widths[index], gap);
+        text += last ? cells[index] : fmt::format("{:<{}}{}", cells[index], widths[index], columnGap);
     }
     return text;
 }
 
 } // namespace
 
-std::string renderTable(const nlohmann::json &answer, bool colour)
+std::string renderTable(const nlohmann::json &response, bool colour)
 {
-    const auto columns = answer.value("columns", std::vector<std::string>());
+    const auto columns = response.value("columns", std::vector<std::string>());
     std::vector<std::vector<std::string>> lines {columns};
-    for (const nlohmann::json &row : answer.value("rows", nlohmann::json::array())) {
+    for (const nlohmann::json &row : response.value("rows", nlohmann::json::array())) {
         std::vector<std::string> cells;
         std::ranges::transform(columns, std::back_inserter(cells), [&](const std::string &column) { return cell(row, column); });
         lines.push_back(std::move(cells));
@@ -56,11 +56,11 @@
             widths[index] = std::max(widths[index], cells[index].size());
         }
     }
-    std::string text = fmt::format("{}{}{}\n", colour ? bold : "", line(lines.front(), widths), colour ? plain : "");
+    std::string text = fmt::format("{}{}{}\n", colour ? bold : "", line(lines.front(), widths), colour ? resetStyle : "");
     for (const auto &cells : lines | std::views::drop(1)) {
         text += line(cells, widths) + "\n";
     }
-    for (const std::string &host : answer.value("missing", std::vector<std::string>())) {
+    for (const std::string &host : response.value("missing", std::vector<std::string>())) {
         text += fmt::format("(host {} did not answer)\n", host);
     }
     return text;
--- a/Source/Tool/table.h
+++ b/Source/Tool/table.h
@@ -13,6 +13,6 @@
 namespace Yokepond::Tool {
 
 /// Columns padded to the widest value; the head in bold if @p colour.
-std::string renderTable(const nlohmann::json &answer, bool colour);
+std::string renderTable(const nlohmann::json &response, bool colour);
 
 } // namespace Yokepond::Tool
--- a/Source/Tool/toolprogram.cpp
+++ b/Source/Tool/toolprogram.cpp
@@ -46,16 +46,16 @@
       "  source <(yokepond completion)\n"
       "\nExit codes: 0 done, 1 failed or rejected, 2 wrong usage, 3 host not reached, 4 not allowed, 5 undetermined.\n";
 
-std::string environment(const char *name)
+std::string environmentVariable(const char *name)
 {
     const char *value = std::getenv(name);
     return value == nullptr ? std::string() : std::string(value);
 }
 
 /// The options given, with those of the settings file and the environment for what is missing.
-absl::StatusOr<OperatorAccess> accessOf(const Base::OptionMap &values)
+absl::StatusOr<OperatorAccess> resolveAccess(const Base::OptionMap &values)
 {
-    OperatorAccess access {environment("YOKEPOND_HOST"), environment("YOKEPOND_KEY")};
+    OperatorAccess access {environmentVariable("YOKEPOND_HOST"), environmentVariable("YOKEPOND_KEY")};
     if (values.contains("settings")) {
         auto ini = Base::IniFile::load(values["settings"].as<std::string>());
         if (!ini.ok()) {
@@ -80,19 +80,19 @@
     return access;
 }
 
-int exitCodeOf(const OperatorAnswer &answer)
+int exitCodeOf(const OperatorResponse &response)
 {
-    if (!answer.reached) {
+    if (!response.reached) {
         return exitUnreachable;
     }
-    if (answer.status == httpOk) {
+    if (response.status == httpOk) {
         return Base::exitOk;
     }
-    if (answer.status == Base::httpStatus(ErrorKind::Unauthenticated)
-        || answer.status == Base::httpStatus(ErrorKind::Forbidden)) {
+    if (response.status == Base::httpStatus(ErrorKind::Unauthenticated)
+        || response.status == Base::httpStatus(ErrorKind::Forbidden)) {
         return exitNotAllowed;
     }
-    return answer.status == Base::httpStatus(ErrorKind::Undetermined) ? exitUndetermined : Base::exitFailed;
+    return response.status == Base::httpStatus(ErrorKind::Undetermined) ? exitUndetermined : Base::exitFailed;
 }
 
 class Program
@@ -107,7 +107,7 @@
 
     int query(const std::string &statement) const
     {
-        return show(askHost(m_access, "POST", "/query", {}, statement));
+        return printResponse(sendOperatorRequest(m_access, "POST", "/query", {}, statement));
     }
 
     int watch(const std::string &statement) const
@@ -141,7 +141,7 @@
         if (m_values.contains("wait")) {
             headers.push_back({"Yokepond-Wait", "yes"});
         }
-        return show(askHost(m_access, "POST", "/command", headers, statements));
+        return printResponse(sendOperatorRequest(m_access, "POST", "/command", headers, statements));
     }
 
     int apply(const std::string &file) const
@@ -162,46 +162,46 @@
 
     int dump() const
     {
-        return show(askHost(m_access, "GET", "/dump", {}, {}));
+        return printResponse(sendOperatorRequest(m_access, "GET", "/dump", {}, {}));
     }
 
 private:
-    int show(const OperatorAnswer &answer) const
+    int printResponse(const OperatorResponse &response) const
     {
-        if (!answer.reached) {
-            fmt::print(stderr, "yokepond: host {} was not reached: {}\n", m_access.host, answer.detail);
+        if (!response.reached) {
+            fmt::print(stderr, "yokepond: host {} was not reached: {}\n", m_access.host, response.detail);
             return exitUnreachable;
         }
-        const nlohmann::json body = nlohmann::json::parse(answer.body, nullptr, false);
-        if (answer.status != httpOk) {
-            showError(answer, body);
+        const nlohmann::json body = nlohmann::json::parse(response.body, nullptr, false);
+        if (response.status != httpOk) {
+            printError(response, body);
         } else if (m_json || !body.is_object()) {
-            fmt::print("{}", answer.body);
+            fmt::print("{}", response.body);
         } else if (body.contains("columns")) {
             fmt::print("{}", renderTable(body, isatty(STDOUT_FILENO) != 0));
         } else if (body.contains("outcome")) {
-            showOutcome(body);
+            printOutcome(body);
         } else {
             fmt::print("{}\n", body.dump(2));
         }
-        return exitCodeOf(answer);
+        return exitCodeOf(response);
     }
 
-    static void showError(const OperatorAnswer &answer, const nlohmann::json &body)
+    static void printError(const OperatorResponse &response, const nlohmann::json &body)
     {
         const bool typed = body.is_object() && body.contains("error");
-        const std::string type = typed ? body["error"].value("type", "error") : fmt::format("status {}", answer.status);
-        const std::string message = typed ? body["error"].value("message", "") : answer.body;
+        const std::string type = typed ? body["error"].value("type", "error") : fmt::format("status {}", response.status);
+        const std::string message = typed ? body["error"].value("message", "") : response.body;
         fmt::print(stderr, "yokepond: {}: {}\n", type, message);
     }
 
-    static void showOutcome(const nlohmann::json &body)
+    static void printOutcome(const nlohmann::json &body)
     {
         fmt::print("{}{}\n", body.value("outcome", ""),
                    body.contains("revision") ? fmt::format(", revision {}", body["revision"].dump()) : "");
-        const auto behind = body.value("behind", std::vector<std::string>());
-        if (!behind.empty()) {
-            fmt::print("not yet in force on: {}\n", absl::StrJoin(behind, ", "));
+        const auto laggingHosts = body.value("behind", std::vector<std::string>());
+        if (!laggingHosts.empty()) {
+            fmt::print("not yet in force on: {}\n", absl::StrJoin(laggingHosts, ", "));
         }
     }
 
@@ -210,34 +210,34 @@
     bool m_json;
 };
 
-int usage(std::string_view message)
+int reportUsageError(std::string_view message)
 {
     fmt::print(stderr, "yokepond: {}; see yokepond --help\n", message);
     return Base::exitUsage;
 }
 
-int carryOut(const Program &program, const std::string &verb, const std::vector<std::string> &words)
+int execute(const Program &program, const std::string &verb, const std::vector<std::string> &words)
 {
-    const std::string rest = absl::StrJoin(words, " ");
+    const std::string argument = absl::StrJoin(words, " ");
     if (verb == "dump") {
         return program.dump();
     }
-    if (rest.empty()) {
-        return usage(fmt::format("{} needs a statement or a file", verb));
+    if (argument.empty()) {
+        return reportUsageError(fmt::format("{} needs a statement or a file", verb));
     }
     if (verb == "query") {
-        return program.query(rest);
+        return program.query(argument);
     }
     if (verb == "watch") {
-        return program.watch(rest);
+        return program.watch(argument);
     }
     if (verb == "command") {
-        return program.command(rest);
+        return program.command(argument);
     }
     if (verb == "apply") {
         return program.apply(words.front());
     }
-    return usage(fmt::format("'{}' is none of query, watch, command, apply, dump and completion", verb));
+    return reportUsageError(fmt::format("'{}' is none of query, watch, command, apply, dump and completion", verb));
 }
 
 } // namespace
@@ -245,8 +245,8 @@
 int runToolProgram(int argc, const char *const *argv)
 {
     namespace options = boost::program_options;
-    Base::OptionDescriptions described("Options");
-    described.add_options()("verb", options::value<std::string>(), "query, watch, command, apply, dump or completion")(
+    Base::OptionDescriptions descriptions("Options");
+    descriptions.add_options()("verb", options::value<std::string>(), "query, watch, command, apply, dump or completion")(
         "words", options::value<std::vector<std::string>>(), "the statement, or the file for apply (- for standard input)")(
         "host", options::value<std::string>(), "operator interface of any host, ip:port (else YOKEPOND_HOST)")(
         "key", options::value<std::string>(), "operator's key (else YOKEPOND_KEY)")(
@@ -261,29 +261,29 @@
     Base::OptionMap values;
     const Base::ProgramInfo info {"yokepond", "asks a fleet what is running and why, and changes it",
                                   "VERB [STATEMENT | FILE] [options]", std::string(examples)};
-    if (const auto code = Base::parseCommandLine(info, argc, argv, described, positional, values)) {
+    if (const auto code = Base::parseCommandLine(info, argc, argv, descriptions, positional, values)) {
         return *code;
     }
     if (!values.contains("verb")) {
-        return usage("what is to be done?");
+        return reportUsageError("what is to be done?");
     }
     const std::string output = values["output"].as<std::string>();
     if (output != "table" && output != "json") {
-        return usage("--output: expected table or json");
+        return reportUsageError("--output: expected table or json");
     }
     const std::string verb = values["verb"].as<std::string>();
     if (verb == "completion") {
         fmt::print("{}", bashCompletion());
         return Base::exitOk;
     }
-    auto access = accessOf(values);
+    auto access = resolveAccess(values);
     if (!access.ok()) {
         fmt::print(stderr, "yokepond: {}\n", Base::messageOf(access.status()));
         return Base::exitUsage;
     }
     const std::vector<std::string> words
         = values.contains("words") ? values["words"].as<std::vector<std::string>>() : std::vector<std::string>();
-    return carryOut(Program(values, std::move(*access)), verb, words);
+    return execute(Program(values, std::move(*access)), verb, words);
 }
 
 } // namespace Yokepond::Tool
--- a/Tests/Language/plantest.cpp
+++ b/Tests/Language/plantest.cpp
@@ -15,7 +15,7 @@
 {
     Configuration::Objects objects;
 
-    absl::Status carryOut(std::string_view text)
+    absl::Status execute(std::string_view text)
     {
         const auto commands = parseCommands(text);
         CHECK_TRUE(commands.ok());
@@ -30,49 +30,49 @@
     void setup() override
     {
         CHECK_TRUE(
-            carryOut("create tier high rank 1\ncreate tier low rank 2\ncreate pool main\ncreate class c tier high pool main")
+            execute("create tier high rank 1\ncreate tier low rank 2\ncreate pool main\ncreate class c tier high pool main")
                 .ok());
     }
 };
 
-TEST(Plan, referencesAreChecked)
+TEST(Plan, referenceToUnknownObjectIsRejected)
 {
-    CHECK_TRUE(Base::errorKind(carryOut("create class d tier hihg pool main")) == ErrorKind::UnknownName);
+    CHECK_TRUE(Base::errorKind(execute("create class d tier hihg pool main")) == ErrorKind::UnknownName);
 }
 
-TEST(Plan, objectInUseCannotGo)
+TEST(Plan, objectInUseCannotBeDeleted)
 {
-    CHECK_TRUE(Base::errorKind(carryOut("delete tier high")) == ErrorKind::InUse);
-    CHECK_TRUE(carryOut("delete class c; delete tier high").ok());
+    CHECK_TRUE(Base::errorKind(execute("delete tier high")) == ErrorKind::InUse);
+    CHECK_TRUE(execute("delete class c; delete tier high").ok());
 }
 
-TEST(Plan, transactionIsWholeOrNothing)
+TEST(Plan, transactionIsAtomic)
 {
-    CHECK_FALSE(carryOut("create tier mid rank 3; create tier high rank 4").ok());
+    CHECK_FALSE(execute("create tier mid rank 3; create tier high rank 4").ok());
     POINTERS_EQUAL(nullptr, objects.find(Configuration::Kind::Tier, "mid"));
 }
 
 TEST(Plan, twoTiersCannotShareARank)
 {
-    CHECK_TRUE(Base::errorKind(carryOut("set tier low rank 1")) == ErrorKind::InvalidValue);
+    CHECK_TRUE(Base::errorKind(execute("set tier low rank 1")) == ErrorKind::InvalidValue);
 }
 
-TEST(Plan, numbersAreNeverUsedAgain)
+TEST(Plan, objectNumbersAreNotReused)
 {
     const auto before = objects.find(Configuration::Kind::Class, "c")->number;
-    CHECK_TRUE(carryOut("delete class c; create class c tier low pool main").ok());
+    CHECK_TRUE(execute("delete class c; create class c tier low pool main").ok());
     CHECK_TRUE(objects.find(Configuration::Kind::Class, "c")->number > before);
 }
 
-TEST(Plan, keysAreKeptHashed)
+TEST(Plan, keysAreStoredHashed)
 {
-    CHECK_TRUE(carryOut("create organisation o key secret").ok());
+    CHECK_TRUE(execute("create organisation o key secret").ok());
     CHECK_EQUAL(64U, objects.find(Configuration::Kind::Organisation, "o")->value("key").size());
 }
 
-TEST(Plan, unknownSettingIsRefused)
+TEST(Plan, unknownSettingAndInvalidValueAreRejected)
 {
-    CHECK_TRUE(Base::errorKind(carryOut("create setting ordr value fifo")) == ErrorKind::UnknownName);
-    CHECK_TRUE(Base::errorKind(carryOut("create setting order value random")) == ErrorKind::InvalidValue);
-    CHECK_TRUE(carryOut("create setting order value fifo").ok());
+    CHECK_TRUE(Base::errorKind(execute("create setting ordr value fifo")) == ErrorKind::UnknownName);
+    CHECK_TRUE(Base::errorKind(execute("create setting order value random")) == ErrorKind::InvalidValue);
+    CHECK_TRUE(execute("create setting order value fifo").ok());
 }
--- a/Tests/Language/statementtest.cpp
+++ b/Tests/Language/statementtest.cpp
@@ -25,7 +25,7 @@
     CHECK_EQUAL(3U, *show.limit);
 }
 
-TEST(Statement, createReadsFieldsInCanonicalForm)
+TEST(Statement, createStoresFieldsInCanonicalForm)
 {
     const auto command = parseCommand("create class gauge tier routine pool main first-token 5s");
     CHECK_TRUE(command.ok());
@@ -33,7 +33,7 @@
     STRCMP_EQUAL("5000", create.fields[2].value.c_str());
 }
 
-TEST(Statement, errorNamesColumnExpectationAndNearestWord)
+TEST(Statement, errorNamesColumnAndNearestWord)
 {
     const auto query = parseQuery("show requsts");
     CHECK_TRUE(Base::errorKind(query.status()) == Base::ErrorKind::Syntax);
@@ -41,29 +41,29 @@
     STRCMP_CONTAINS("did you mean 'requests'?", Base::messageOf(query.status()).c_str());
 }
 
-TEST(Statement, wrongValueIsInvalidValueWithColumn)
+TEST(Statement, invalidValueIsReportedWithColumn)
 {
     const auto command = parseCommand("create tier a rank 0");
     CHECK_TRUE(Base::errorKind(command.status()) == Base::ErrorKind::InvalidValue);
     STRCMP_CONTAINS("column 20", Base::messageOf(command.status()).c_str());
 }
 
-TEST(Statement, doubledFieldIsRefused)
+TEST(Statement, repeatedFieldIsRejected)
 {
     CHECK_FALSE(parseCommand("set tier a rank 1 rank 2").ok());
 }
 
-TEST(Statement, textAfterTheEndIsRefused)
+TEST(Statement, trailingTextIsRejected)
 {
     CHECK_FALSE(parseCommand("delete tier a b").ok());
 }
 
-TEST(Statement, unclosedQuoteIsRefused)
+TEST(Statement, unterminatedQuoteIsRejected)
 {
     STRCMP_CONTAINS("closing quotation mark", Base::messageOf(parseQuery("why request \"a").status()).c_str());
 }
 
-TEST(Statement, manyCommandsNameTheLineOfAnError)
+TEST(Statement, errorInCommandListNamesLineAndColumn)
 {
     const auto commands = parseCommands("# a comment\ncreate tier a rank 1; create tier b rank 2\n\ncreate teir c rank 3\n");
     STRCMP_CONTAINS("line 4, column 8", Base::messageOf(commands.status()).c_str());
--- a/Utilities/benchdispatch.cpp
+++ b/Utilities/benchdispatch.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::size_t decisions = 20'000;
 constexpr std::uint32_t organisations = 940;
-constexpr std::size_t usualEndpoints = 32;
+constexpr std::size_t defaultEndpoints = 32;
 
 Configuration::Objects makeObjects(std::string_view placement, std::size_t endpoints)
 {
@@ -67,7 +67,7 @@
     Dispatch::Shard shard(info, catalogue, now - std::chrono::seconds(10));
     const Dispatch::Home home {"h", 1};
     std::vector<Peer::Grant> running;
-    const auto takeGrants = [&] {
+    const auto collectGrants = [&] {
         for (const Dispatch::Reply &reply : shard.takeReplies()) {
             if (const auto *grant = std::get_if<Peer::Grant>(&reply.message)) {
                 running.push_back(*grant);
@@ -77,7 +77,7 @@
     std::uint64_t next = 1;
     while (shard.queued() < queued) {
         shard.ask(now, home, makeAsk(next++, objects, random));
-        takeGrants();
+        collectGrants();
     }
     std::vector<Peer::Ask> asks;
     for (std::size_t index = 0; index < decisions; ++index) {
@@ -87,15 +87,15 @@
     for (const Peer::Ask &ask : asks) {
         now += std::chrono::milliseconds(1);
         shard.ask(now, home, ask);
-        takeGrants();
+        collectGrants();
         const std::size_t index = random() % running.size();
-        const Peer::Grant ended = running[index];
+        const Peer::Grant finished = running[index];
         running[index] = running.back();
         running.pop_back();
         shard.release(now, home,
-                      {ended.id, 1, ended.endpoint, Peer::RunResult::Completed, std::chrono::milliseconds(80),
+                      {finished.id, 1, finished.endpoint, Peer::RunResult::Completed, std::chrono::milliseconds(80),
                        std::chrono::milliseconds(18), 40});
-        takeGrants();
+        collectGrants();
     }
     return Base::seconds(Base::now() - begin) * 1e6 / decisions;
 }
@@ -105,7 +105,7 @@
 {
     double microsecondsPerAsk = 0; ///< of everything that the shard does
     double processorShare = 0; ///< of one core, at the offered rate
-    std::size_t mostQueued = 0;
+    std::size_t maxQueued = 0;
     double grantedShare = 0;
 };
 
@@ -113,13 +113,13 @@
 /// ms, as the shifted deployment's do. A run lasts as long as its reading and 3 s of tokens.
 BurstCost measureBurst(std::size_t endpoints, double asksPerSecond)
 {
-    constexpr std::uint64_t subjects = 596;
+    constexpr std::uint64_t sharedPrefixes = 596;
     constexpr std::uint32_t sharedTokens = 13'300;
     constexpr std::uint32_t ownTokens = 3720;
-    constexpr Base::Duration answering = std::chrono::seconds(3);
+    constexpr Base::Duration decodeTime = std::chrono::seconds(3);
     constexpr Base::Duration tickPeriod = std::chrono::milliseconds(50);
-    constexpr Base::Duration played = std::chrono::seconds(8);
-    constexpr double tokensPerMs = 36.7;
+    constexpr Base::Duration simulatedTime = std::chrono::seconds(8);
+    constexpr double prefillTokensPerMs = 36.7;
     std::string text = "create setting queue-limit value 1000000\ncreate setting placement value soonest-first-token\n"
                        "create setting refuse-late value yes\ncreate pool main\n"
                        "create tier t1 rank 1\ncreate tier t2 rank 2\n"
@@ -140,65 +140,66 @@
     Dispatch::Shard shard(info, catalogue, now - std::chrono::seconds(10));
     const Dispatch::Home home {"h", 1};
     std::mt19937_64 random(1);
-    using Ended = std::pair<Base::Instant, std::uint64_t>;
-    std::priority_queue<Ended, std::vector<Ended>, std::greater<>> ends;
+    using RunEnd = std::pair<Base::Instant, std::uint64_t>;
+    std::priority_queue<RunEnd, std::vector<RunEnd>, std::greater<>> runEnds;
     struct Run
     {
         Peer::Grant grant;
         Base::Duration firstToken {};
     };
     std::map<std::uint64_t, Run> running;
-    std::map<std::uint32_t, Base::Instant> readUntil;
+    std::map<std::uint32_t, Base::Instant> prefillEnds;
     BurstCost cost;
-    std::size_t asked = 0;
-    std::size_t granted = 0;
-    double busy = 0;
-    const auto timed = [&](const auto &call) {
+    std::size_t askCount = 0;
+    std::size_t grantCount = 0;
+    double busySeconds = 0;
+    const auto measureCall = [&](const auto &call) {
         const Base::Instant from = Base::now();
         call();
-        busy += Base::seconds(Base::now() - from);
-        cost.mostQueued = std::max(cost.mostQueued, shard.queued());
+        busySeconds += Base::seconds(Base::now() - from);
+        cost.maxQueued = std::max(cost.maxQueued, shard.queued());
         for (const Dispatch::Reply &reply : shard.takeReplies()) {
             if (const auto *grant = std::get_if<Peer::Grant>(&reply.message)) {
-                ++granted;
-                const auto reading = std::chrono::duration_cast<Base::Duration>(
-                    std::chrono::duration<double, std::milli>((ownTokens + 0.2 * sharedTokens) / tokensPerMs));
-                Base::Instant &until = readUntil[grant->endpoint];
-                until = std::max(until, now) + reading;
-                running[grant->id.request] = {*grant, until - now};
-                ends.emplace(until + answering, grant->id.request);
+                ++grantCount;
+                const auto prefillTime = std::chrono::duration_cast<Base::Duration>(
+                    std::chrono::duration<double, std::milli>((ownTokens + 0.2 * sharedTokens) / prefillTokensPerMs));
+                Base::Instant &prefillEnd = prefillEnds[grant->endpoint];
+                prefillEnd = std::max(prefillEnd, now) + prefillTime;
+                running[grant->id.request] = {*grant, prefillEnd - now};
+                runEnds.emplace(prefillEnd + decodeTime, grant->id.request);
             }
         }
     };
     Base::Instant nextTick = now + tickPeriod;
     std::exponential_distribution<double> gap(asksPerSecond);
-    for (; now < begin + played; now += std::chrono::duration_cast<Base::Duration>(std::chrono::duration<double>(gap(random)))) {
+    for (; now < begin + simulatedTime;
+         now += std::chrono::duration_cast<Base::Duration>(std::chrono::duration<double>(gap(random)))) {
         for (; nextTick <= now; nextTick += tickPeriod) {
-            timed([&] { shard.tick(nextTick); });
+            measureCall([&] { shard.tick(nextTick); });
         }
-        while (!ends.empty() && ends.top().first <= now) {
-            const Run ended = running.at(ends.top().second);
-            running.erase(ends.top().second);
-            ends.pop();
-            timed([&] {
+        while (!runEnds.empty() && runEnds.top().first <= now) {
+            const Run finished = running.at(runEnds.top().second);
+            running.erase(runEnds.top().second);
+            runEnds.pop();
+            measureCall([&] {
                 shard.release(now, home,
-                              {ended.grant.id, 1, ended.grant.endpoint, Peer::RunResult::Completed, ended.firstToken,
+                              {finished.grant.id, 1, finished.grant.endpoint, Peer::RunResult::Completed, finished.firstToken,
                                std::chrono::milliseconds(18), 40});
             });
         }
         Peer::Ask ask;
-        ask.id = {++asked, 1};
+        ask.id = {++askCount, 1};
         ask.requestClass = objects.find(Configuration::Kind::Class, random() % 3 == 0 ? "c1" : "c2")->number;
         ask.remaining = std::chrono::seconds(12);
         ask.promptTokens = sharedTokens + ownTokens;
         ask.expectedTokens = 120;
-        ask.prefix = {1, 2 + random() % subjects, 1'000'000 + asked};
+        ask.prefix = {1, 2 + random() % sharedPrefixes, 1'000'000 + askCount};
         ask.prefixTokens = {400, sharedTokens, sharedTokens + ownTokens};
-        timed([&] { shard.ask(now, home, ask); });
+        measureCall([&] { shard.ask(now, home, ask); });
     }
-    cost.microsecondsPerAsk = busy * 1e6 / static_cast<double>(asked);
-    cost.processorShare = busy / Base::seconds(played);
-    cost.grantedShare = static_cast<double>(granted) / static_cast<double>(asked);
+    cost.microsecondsPerAsk = busySeconds * 1e6 / static_cast<double>(askCount);
+    cost.processorShare = busySeconds / Base::seconds(simulatedTime);
+    cost.grantedShare = static_cast<double>(grantCount) / static_cast<double>(askCount);
     return cost;
 }
 
@@ -209,9 +210,9 @@
 {
     const std::string_view placement = argc > 1 ? argv[1] : "affinity";
     constexpr std::array<std::size_t, 4> lengths = {0, 100, 1000, 10'000};
-    const double empty = measure(placement, usualEndpoints, lengths.front());
+    const double empty = measure(placement, defaultEndpoints, lengths.front());
     for (const std::size_t length : lengths) {
-        const double time = measure(placement, usualEndpoints, length);
+        const double time = measure(placement, defaultEndpoints, length);
         fmt::print("{:>6} asks queued: {:.2f} us for an ask and a release, {:.2f} times the empty queue's\n", length, time,
                    time / empty);
     }
@@ -231,7 +232,7 @@
     for (const Burst &burst : bursts) {
         const BurstCost cost = measureBurst(burst.endpoints, burst.asksPerSecond);
         fmt::print("{:>6} endpoints, {} asks a second: {:.1f} us an ask, {:.3f} of a core, {} queued at most, {:.2f} granted\n",
-                   burst.endpoints, burst.asksPerSecond, cost.microsecondsPerAsk, cost.processorShare, cost.mostQueued,
+                   burst.endpoints, burst.asksPerSecond, cost.microsecondsPerAsk, cost.processorShare, cost.maxQueued,
                    cost.grantedShare);
     }
     return 0;
