--- a/Source/Language/plan.cpp
+++ b/Source/Language/plan.cpp
@@ -43,7 +43,7 @@
     return makeError(ErrorKind::UnknownName, fmt::format("there is no {} '{}'{}", kindName(kind), name, hint));
 }
 
-/// Carries out the commands on a copy of the configuration, one after the other.
+/// Applies commands one after another to a copy of the configuration and collects the resulting mutations.
 class Planner
 {
 public:
@@ -56,7 +56,7 @@
     {
         if (m_objects.find(command.kind, command.name) != nullptr) {
             return makeError(ErrorKind::AlreadyExists,
-                             fmt::format("{} '{}' is there already; use set to change it", kindName(command.kind), command.name));
+                             fmt::format("{} '{}' already exists; use set to change it", kindName(command.kind), command.name));
         }
         Object object {command.kind, command.name, m_objects.nextNumber(), {}};
         for (const FieldSchema &field : Configuration::fieldsOf(command.kind)) {
@@ -92,8 +92,8 @@
         }
         if (const Object *referringObject = m_objects.referrer(command.kind, command.name)) {
             return makeError(ErrorKind::InUse,
-                             fmt::format("{} '{}' is used by {} '{}'; change that first", kindName(command.kind), command.name,
-                                         kindName(referringObject->kind), referringObject->name));
+                             fmt::format("{} '{}' is used by {} '{}'; change or delete that one first", kindName(command.kind),
+                                         command.name, kindName(referringObject->kind), referringObject->name));
         }
         add({Object {command.kind, command.name, existing->number, {}}, true});
         return absl::OkStatus();
@@ -107,13 +107,13 @@
     absl::Status operator()(const CancelRequest &)
     {
         return makeError(ErrorKind::InvalidValue,
-                         "cancel request acts at once and cannot stand in a transaction with other commands");
+                         "cancel request takes effect immediately and cannot be combined with other commands in a transaction");
     }
 
     absl::Status operator()(const ReleaseWork &)
     {
         return makeError(ErrorKind::InvalidValue,
-                         "release work acts at once and cannot stand in a transaction with other commands");
+                         "release work takes effect immediately and cannot be combined with other commands in a transaction");
     }
 
     std::vector<Mutation> takeMutations()
@@ -151,7 +151,8 @@
         return absl::OkStatus();
     }
 
-    /// Two organisations with one key, two tiers of one rank or two endpoints at one address could not be told apart.
+    /// Rejects a value that must be unique within its kind: an organisation's key, a tier's rank or an endpoint's address.
+    /// Two objects with the same value would be indistinguishable.
     absl::Status checkUnique(const Object &object) const
     {
         const std::string_view field = uniqueField(object.kind);
--- a/Source/Language/plan.h
+++ b/Source/Language/plan.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Checks commands against a configuration and turns them into the mutations of one change.
+/// Validates operator commands against a configuration and translates them into the mutations of one change.
 
 #pragma once
 
@@ -15,8 +15,9 @@
 
 namespace Yokepond::Language {
 
-/// The mutations that carry out @p commands in order on @p objects, checked as one transaction.
-/// Fails with ErrorKind::UnknownName, AlreadyExists, InvalidValue or InUse; then none of them may be carried out.
+/// Returns the mutations that apply @p commands to @p objects in order, as one transaction. Each command is checked against the
+/// state that the commands before it leave. Returns the error of the first invalid command (ErrorKind::UnknownName,
+/// AlreadyExists, InvalidValue or InUse) and no mutations if any command is invalid.
 absl::StatusOr<std::vector<Configuration::Mutation>> plan(const Configuration::Objects &objects,
                                                           const std::vector<Command> &commands);
 
--- a/Source/Language/statement.cpp
+++ b/Source/Language/statement.cpp
@@ -86,7 +86,8 @@
     return tokens;
 }
 
-/// Reads tokens in order; the first error stays and every later read gives an empty value.
+/// Reads the tokens of one statement in order. It keeps the first error; after an error every read returns an empty or default
+/// value, so that the parser checks for an error only once, at the end.
 class TokenReader
 {
 public:
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Takes the next token, whatever it says.
+    /// Consumes the next token and returns its text. @p expected describes the token for the error at the end of the statement.
     std::string consume(std::string_view expected)
     {
         if (!m_error.ok() || atEnd()) {
@@ -145,7 +146,7 @@
         return m_tokens[m_next++].text;
     }
 
-    /// Takes the next token if it is @p word.
+    /// Consumes the next token if it is the unquoted @p word. Returns whether it did.
     bool consumeIf(std::string_view word)
     {
         if (!m_error.ok() || atEnd() || m_tokens[m_next].quoted || m_tokens[m_next].text != word) {
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Takes one of the names of @p table.
+    /// Consumes the next token as a name of @p table and returns the value of that name. An error suggests the nearest name.
     template<typename Enum, std::size_t Size>
     Enum consumeEnum(const Base::NameTable<Enum, Size> &table, std::string_view description)
     {
@@ -275,7 +276,7 @@
     }
     if (verb == Verb::Release) {
         reader.require("work");
-        return ReleaseWork {reader.consume("the work as `show quarantine` names it")};
+        return ReleaseWork {reader.consume("the hash of a work as listed by `show quarantine`")};
     }
     const Kind kind = reader.consumeEnum(Configuration::kindNames, "a kind");
     std::string name = reader.consumeName(fmt::format("the name of a {}", Base::nameOf(Configuration::kindNames, kind)));
--- a/Source/Language/statement.h
+++ b/Source/Language/statement.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The operators' language: queries and commands as types, and their parser. The grammar is in docs/LANGUAGE.md.
+/// The operators' language: types for its queries and commands, and their parser. docs/LANGUAGE.md has the grammar.
 
 #pragma once
 
@@ -40,23 +40,24 @@
     std::string name;
 };
 
-/// `drain endpoint` and `resume endpoint`.
+/// The commands `drain endpoint` (drained is true) and `resume endpoint` (drained is false).
 struct Drain
 {
     std::string endpoint;
     bool drained = true;
 };
 
-/// Acts on a request under way; not part of the configuration.
+/// Cancels a request that is in progress. This takes effect immediately and does not change the configuration.
 struct CancelRequest
 {
     std::string id;
 };
 
-/// Lets work run again that is held because endpoints ended under it; not part of the configuration.
+/// Removes work from quarantine, where it was put because endpoints crashed while running it. This takes effect immediately and
+/// does not change the configuration.
 struct ReleaseWork
 {
-    std::string work;
+    std::string work; ///< hash of the requested content, as `show quarantine` lists it
 };
 
 using Command = std::variant<Create, Set, Delete, Drain, CancelRequest, ReleaseWork>;
@@ -132,14 +133,15 @@
 
 using Query = std::variant<Show, Why>;
 
-/// Parses one query. Fails with ErrorKind::Syntax or ErrorKind::UnknownName; the message names the column.
+/// Parses one query. Returns ErrorKind::Syntax for text that does not match the grammar; the message names the column.
 absl::StatusOr<Query> parseQuery(std::string_view text);
 
-/// Parses one command. Fails like parseQuery().
+/// Parses one command. Returns ErrorKind::Syntax, or the error of the field's type (such as ErrorKind::InvalidValue) for a value
+/// that the field does not accept; the message names the column.
 absl::StatusOr<Command> parseCommand(std::string_view text);
 
-/// Parses many commands, one a line or separated by ';'. Empty lines and those beginning with '#' are passed over.
-/// Errors name the line as well.
+/// Parses commands that are separated by line breaks or ';'. Skips empty commands and lines that begin with '#'.
+/// Returns the first error; its message names the line and the column. A column counts from the start of its command.
 absl::StatusOr<std::vector<Command>> parseCommands(std::string_view text);
 
 } // namespace Yokepond::Language
--- a/Source/Load/arrivals.h
+++ b/Source/Load/arrivals.h
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The requests of a run, drawn ahead from the seed: an open loop, which does not slow down when answers do.
+/// Generates the requests of a load run in advance from a seed. The load is an open loop: requests are sent at their scheduled
+/// times, however slow the responses are.
 
 #pragma once
 
@@ -15,15 +16,15 @@
 
 struct Arrival
 {
-    Base::Duration at {}; ///< since the start of the run
-    std::size_t classIndex = 0;
-    std::size_t organisationIndex = 0;
-    std::uint32_t tokens = 0;
-    std::uint32_t prefix = 0;
-    std::uint64_t nonce = 0; ///< makes the prompt unique
+    Base::Duration at {}; ///< scheduled send time, since the start of the run
+    std::size_t classIndex = 0; ///< index into Scenario::classes
+    std::size_t organisationIndex = 0; ///< index into ClassLoad::organisations
+    std::uint32_t tokens = 0; ///< requested length of the response
+    std::uint32_t prefix = 0; ///< index of the shared prompt prefix
+    std::uint64_t nonce = 0; ///< random number that makes the prompt unique
 };
 
-/// All arrivals in order of time; the same for the same seed. @p factor multiplies all rates.
+/// Returns all arrivals of a run, sorted by time. The same arguments give the same arrivals. @p factor multiplies all rates.
 std::vector<Arrival> generateArrivals(const Scenario &scenario, std::uint64_t seed, double factor);
 
 } // namespace Yokepond::Load
--- a/Source/Load/loadprogram.h
+++ b/Source/Load/loadprogram.h
@@ -2,13 +2,13 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The command line of yokepond-load.
+/// The command-line program yokepond-load, a load generator.
 
 #pragma once
 
 namespace Yokepond::Load {
 
-/// Runs a scenario against a fleet and reports. Returns the process's exit code.
+/// Runs a scenario against a fleet and prints a report. Returns the process's exit code.
 int runLoadProgram(int argc, const char *const *argv);
 
 } // namespace Yokepond::Load
--- a/Source/Load/report.cpp
+++ b/Source/Load/report.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// The value below which the part @p share of the sorted @p values lies, in milliseconds.
+/// Returns the percentile of @p values at @p fraction (0 to 1) in milliseconds, or 0 without values. Reorders @p values.
 double percentile(std::vector<Base::Duration> &values, double fraction)
 {
     if (values.empty()) {
@@ -76,7 +76,7 @@
     return summary;
 }
 
-/// Tokens of whole answers that came before their deadlines; all others that engines made are wasted.
+/// Returns the number of tokens in completed responses that met their deadlines. All other generated tokens count as wasted.
 std::uint64_t usefulTokens(const Scenario &scenario, const std::vector<Sample> &samples)
 {
     std::uint64_t tokens = 0;
--- a/Source/Load/runner.cpp
+++ b/Source/Load/runner.cpp
@@ -24,18 +24,18 @@
 
 } // namespace
 
-/// A request whose answer has not ended.
+/// A request whose response has not ended.
 struct Runner::OpenRequest
 {
-    std::size_t index = 0;
-    std::string tokenPrefix; ///< what every token of the answer begins with
+    std::size_t index = 0; ///< index of its arrival
+    std::string tokenPrefix; ///< text with which every token of the right response begins
     int status = 0;
     std::string outcome;
     std::string body;
     Relay::EventSplitter splitter;
     std::uint32_t tokens = 0;
-    bool doneReceived = false;
-    bool wrong = false;
+    bool doneReceived = false; ///< the end marker of the stream was received
+    bool wrong = false; ///< a token was out of order, repeated or of another request, or an error event was received
     Base::Instant firstTokenAt {};
     Base::Instant lastTokenAt {};
 };
@@ -81,7 +81,7 @@
 
 const std::string &Runner::host(std::size_t index) const
 {
-    // As a balancer does that gives each new request to the next host.
+    // Round robin, like a load balancer that sends each new request to the next host.
     return m_fleet.hosts[index % m_fleet.hosts.size()];
 }
 
@@ -103,7 +103,8 @@
         }
     });
     m_loop.run();
-    // What has not been answered by now is cut; a later loop needs low descriptors.
+    // Closes the connections of requests that are still open: a loop that is made later, as in engineTokens(), needs file
+    // descriptors below FD_SETSIZE.
     m_clients.clear();
     m_openRequests.clear();
     return m_samples;
@@ -147,7 +148,7 @@
     const std::string text = prompt(arrival);
     auto request = std::make_unique<OpenRequest>();
     request->index = index;
-    // The engine's stand-in makes every token from a hash of the prompt with its line ends.
+    // The stand-in engine begins every token with a hash of the prompt, in which each message ends with a line feed.
     request->tokenPrefix = fmt::format("{:08x}:", Base::hash64(text + "\n") & 0xffffffffU);
     m_openRequests[index] = std::move(request);
     const nlohmann::json body
@@ -209,7 +210,8 @@
             continue;
         }
         ++request.tokens;
-        // Whole, in order, of the own request, and none twice.
+        // Each token carries the hash of its prompt and its number: the check finds lost, reordered and repeated tokens, and
+        // tokens of another request.
         request.wrong = request.wrong || event.isError
             || event.bytes.find(fmt::format("{}{} ", request.tokenPrefix, request.tokens)) == std::string::npos;
         request.firstTokenAt = request.tokens == 1 ? now : request.firstTokenAt;
--- a/Source/Load/runner.h
+++ b/Source/Load/runner.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Sends the requests of a run to the hosts of a fleet and times the answers.
+/// Sends the requests of a load run to the hosts of a fleet and measures the response times.
 
 #pragma once
 
@@ -19,18 +19,19 @@
 
 namespace Yokepond::Load {
 
-/// What of a fleet.json the runner needs.
+/// The parts of a fleet.json file that the runner needs: addresses and keys.
 struct FleetAccess
 {
-    std::vector<std::string> hosts; ///< callers' addresses
-    std::map<std::string, std::string> keys; ///< by organisation
-    std::map<std::string, std::string> targets; ///< addresses that take faults, by name
-    std::vector<std::string> engines;
+    std::vector<std::string> hosts; ///< addresses that accept callers' requests
+    std::map<std::string, std::string> keys; ///< callers' keys, by name of the organisation
+    std::map<std::string, std::string> targets; ///< addresses that accept fault injection, by name of the endpoint or `platform`
+    std::vector<std::string> engines; ///< addresses of the engines
 };
 
-/// Fails with ErrorKind::InvalidSettings.
+/// Reads a fleet.json file. Returns ErrorKind::InvalidSettings if the file cannot be read or a key is missing.
 absl::StatusOr<FleetAccess> loadFleet(const std::string &file);
 
+/// Runs one load scenario: sends each request at its scheduled time, injects the scheduled faults and measures the responses.
 class Runner
 {
 public:
@@ -40,10 +41,11 @@
     Runner(const Runner &) = delete;
     Runner &operator=(const Runner &) = delete;
 
-    /// Runs to the end and returns a sample of each request.
+    /// Sends all requests and returns one sample for each. Returns when the scenario's duration has passed and all responses have
+    /// ended, but waits at most the drain time for them. Requests still open then are aborted and count as Result::NoResponse.
     std::vector<Sample> run();
 
-    /// Tokens that the engines have generated since they started.
+    /// Returns the number of tokens that the engines have generated since they started, summed over all engines.
     std::uint64_t engineTokens();
 
 private:
@@ -66,12 +68,13 @@
     FleetAccess m_fleet;
     std::vector<Arrival> m_arrivals;
     Base::Loop m_loop;
-    /// libcurl looks through all connections of a client for one to use again; many clients keep that short.
+    /// Requests are distributed over several clients, because libcurl searches all connections of a client for one to reuse;
+    /// with fewer connections each, the search is short.
     std::vector<std::unique_ptr<Http::Client>> m_clients;
     std::vector<Sample> m_samples;
-    std::map<std::size_t, std::unique_ptr<OpenRequest>> m_openRequests;
-    std::size_t m_next = 0;
-    std::size_t m_nextFault = 0;
+    std::map<std::size_t, std::unique_ptr<OpenRequest>> m_openRequests; ///< by index of the arrival
+    std::size_t m_next = 0; ///< index of the next arrival to send
+    std::size_t m_nextFault = 0; ///< index of the next fault to inject
     Base::Instant m_start {};
 };
 
--- a/Source/Load/scenario.cpp
+++ b/Source/Load/scenario.cpp
@@ -21,7 +21,7 @@
     return std::chrono::milliseconds(ini.number(section, key, fallback, 0, dayMs));
 }
 
-/// `name:weight` parts separated by commas.
+/// Parses the key `organisations`: a comma-separated list of NAME:WEIGHT. Rejects a weight that is not above zero.
 std::vector<OrganisationShare> parseShares(Base::IniFile &ini, const std::string &section)
 {
     std::vector<OrganisationShare> shares;
--- a/Source/Load/scenario.h
+++ b/Source/Load/scenario.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What a load run sends, read from an INI file: classes with rates and lengths, bursts, and faults at times.
+/// The description of a load run, read from an INI file: classes with request rates and lengths, bursts, and scheduled faults.
 
 #pragma once
 
@@ -17,30 +17,31 @@
 
 namespace Yokepond::Load {
 
-/// A share of a class's requests that one organisation sends.
+/// The share of a class's requests that one organisation sends, as a weight relative to the other organisations.
 struct OrganisationShare
 {
     std::string name;
     double weight = 1;
 };
 
+/// The requests of one class and the latency targets that they are measured against.
 struct ClassLoad
 {
     std::string name;
-    double rate = 1; ///< requests a second
-    bool service = false; ///< calls to a plain service, each with a ticket of its own
-    std::string pool; ///< of a service
-    double meanTokens = 48; ///< of an answer; lengths are geometric
-    std::size_t promptBytes = 400; ///< of a prompt's own part
-    std::size_t prefixBytes = 0; ///< of the part shared with others
-    std::uint32_t prefixes = 1; ///< different shared parts, the first the most used (Zipf)
-    Base::Duration firstToken {}; ///< target
-    Base::Duration tokenGap {}; ///< target for the mean gap of an answer
-    Base::Duration deadline {}; ///< target for the whole answer
+    double rate = 1; ///< requests per second
+    bool service = false; ///< the requests call a service and not an engine; each gets its own ticket first
+    std::string pool; ///< pool of the service, empty for engines
+    double meanTokens = 48; ///< mean length of a response; the lengths have a geometric distribution
+    std::size_t promptBytes = 400; ///< length of the part of the prompt that is unique to the request
+    std::size_t prefixBytes = 0; ///< length of the shared prefix of the prompt
+    std::uint32_t prefixes = 1; ///< number of different shared prefixes; their popularity is Zipf-distributed
+    Base::Duration firstToken {}; ///< target for the time to the first token
+    Base::Duration tokenGap {}; ///< target for the mean inter-token latency of a response
+    Base::Duration deadline {}; ///< target for the time to the end of the response
     std::vector<OrganisationShare> organisations;
 };
 
-/// A class's rate is multiplied for a while.
+/// A time span in which the rate of one class is multiplied by a factor.
 struct Burst
 {
     std::string className;
@@ -49,26 +50,27 @@
     double factor = 1;
 };
 
-/// A body sent to an endpoint's or the platform's /faults.
+/// A fault that is injected during the run by a POST request to /faults of an endpoint or of the platform.
 struct ScheduledFault
 {
-    Base::Duration at {};
+    Base::Duration at {}; ///< time since the start of the run
     std::string target; ///< name of an endpoint, or `platform`
-    std::string body; ///< JSON
+    std::string body; ///< JSON body of the request
 };
 
+/// A load run as described by its INI file. Times count from the start of the run.
 struct Scenario
 {
     std::string name;
     Base::Duration duration {};
-    Base::Duration warmUp {}; ///< requests scheduled before this are sent and not counted
-    Base::Duration drain {}; ///< answers are awaited this long after the last request
+    Base::Duration warmUp {}; ///< requests scheduled before this time are sent but not counted in the results of their class
+    Base::Duration drain {}; ///< maximum time to wait for responses after the duration has passed
     std::vector<ClassLoad> classes;
     std::vector<Burst> bursts;
     std::vector<ScheduledFault> faults;
 };
 
-/// Fails with ErrorKind::InvalidSettings.
+/// Reads a scenario from @p ini. Returns ErrorKind::InvalidSettings for a missing, unknown or invalid key.
 absl::StatusOr<Scenario> parseScenario(Base::IniFile ini);
 
 } // namespace Yokepond::Load
--- a/Source/Tool/completion.h
+++ b/Source/Tool/completion.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Shell completion of the tool's command line.
+/// Shell completion for the command line of the operators' tool.
 
 #pragma once
 
@@ -10,7 +10,8 @@
 
 namespace Yokepond::Tool {
 
-/// A script to be sourced by bash, made from the tables of the language.
+/// Returns a bash script that completes the tool's verbs and options and the first words of statements. The names of subjects and
+/// kinds come from the tables of the language and of the configuration.
 std::string bashCompletion();
 
 } // namespace Yokepond::Tool
--- a/Source/Tool/operatorclient.h
+++ b/Source/Tool/operatorclient.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// One request to a host's operator interface, waited for.
+/// A blocking client for the operator interface of a host.
 
 #pragma once
 
@@ -14,20 +14,20 @@
 
 struct OperatorResponse
 {
-    bool reached = false;
-    int status = 0;
+    bool reached = false; ///< a complete response was received
+    int status = 0; ///< HTTP status, 0 if none was received
     std::string body;
-    std::string detail; ///< why the host was not reached
+    std::string detail; ///< error of the connection or transfer, if no complete response was received
 };
 
-/// Where and as whom to ask.
+/// Address of an operator interface and the key that authenticates the operator.
 struct OperatorAccess
 {
     std::string host; ///< ip:port
     std::string key;
 };
 
-/// Sends @p body with POST, or GET if @p method says so, and waits for the answer.
+/// Sends one HTTP request to the operator interface and blocks until the response is complete, for at most 30 s.
 OperatorResponse sendOperatorRequest(const OperatorAccess &access, const std::string &method, const std::string &path,
                                      const Http::Headers &headers, const std::string &body);
 
--- a/Source/Tool/table.h
+++ b/Source/Tool/table.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// A query's answer as a table for people.
+/// Formats the response to a query as a plain-text table.
 
 #pragma once
 
@@ -12,7 +12,8 @@
 
 namespace Yokepond::Tool {
 
-/// Columns padded to the widest value; the head in bold if @p colour.
+/// Returns the rows of @p response with columns padded to their widest value. The header is bold if @p colour is true. A line at
+/// the end names each host that did not respond.
 std::string renderTable(const nlohmann::json &response, bool colour);
 
 } // namespace Yokepond::Tool
--- a/Source/Tool/toolprogram.cpp
+++ b/Source/Tool/toolprogram.cpp
@@ -52,7 +52,8 @@
     return value == nullptr ? std::string() : std::string(value);
 }
 
-/// The options given, with those of the settings file and the environment for what is missing.
+/// Returns the host and key to use. Command-line options override the settings file, which overrides the environment.
+/// Returns ErrorKind::InvalidValue without a valid host address, or the error of the settings file.
 absl::StatusOr<OperatorAccess> resolveAccess(const Base::OptionMap &values)
 {
     OperatorAccess access {environmentVariable("YOKEPOND_HOST"), environmentVariable("YOKEPOND_KEY")};
@@ -74,8 +75,9 @@
         access.key = values["key"].as<std::string>();
     }
     if (!Base::parseAddress(access.host).ok()) {
-        return makeError(ErrorKind::InvalidValue,
-                         "no host to ask; give --host IP:PORT of an operator interface, a --settings file or YOKEPOND_HOST");
+        return makeError(
+            ErrorKind::InvalidValue,
+            "no valid host address; give --host IP:PORT of an operator interface, a --settings file or YOKEPOND_HOST");
     }
     return access;
 }
@@ -152,7 +154,7 @@
         } else {
             std::ifstream stream(file);
             if (!stream) {
-                fmt::print(stderr, "yokepond: {}: cannot be read\n", file);
+                fmt::print(stderr, "yokepond: file {} cannot be read\n", file);
                 return Base::exitFailed;
             }
             text << stream.rdbuf();
@@ -169,7 +171,7 @@
     int printResponse(const OperatorResponse &response) const
     {
         if (!response.reached) {
-            fmt::print(stderr, "yokepond: host {} was not reached: {}\n", m_access.host, response.detail);
+            fmt::print(stderr, "yokepond: host {} could not be reached: {}\n", m_access.host, response.detail);
             return exitUnreachable;
         }
         const nlohmann::json body = nlohmann::json::parse(response.body, nullptr, false);
@@ -237,7 +239,7 @@
     if (verb == "apply") {
         return program.apply(words.front());
     }
-    return reportUsageError(fmt::format("'{}' is none of query, watch, command, apply, dump and completion", verb));
+    return reportUsageError(fmt::format("unknown verb '{}'; expected query, watch, command, apply, dump or completion", verb));
 }
 
 } // namespace
@@ -265,7 +267,7 @@
         return *code;
     }
     if (!values.contains("verb")) {
-        return reportUsageError("what is to be done?");
+        return reportUsageError("a verb is missing; expected query, watch, command, apply, dump or completion");
     }
     const std::string output = values["output"].as<std::string>();
     if (output != "table" && output != "json") {
--- a/Utilities/benchdispatch.cpp
+++ b/Utilities/benchdispatch.cpp
@@ -2,8 +2,9 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Measures a dispatcher's decision: one ask taken in and one permit released, by the length of the queue and the number of its
-/// shard's endpoints.
+/// Measures the time of a dispatcher's decision. One decision is an incoming ask (a host's request for an endpoint) and
+/// the release of a permit (a granted slot of an endpoint). The time is measured for several queue lengths and numbers of
+/// endpoints of the shard, and for bursts of asks with long prompts.
 
 #include "Dispatch/shard.h"
 #include "Language/plan.h"
@@ -53,7 +54,7 @@
     return ask;
 }
 
-/// Mean time of one decision in microseconds with @p queued asks waiting before @p endpoints.
+/// Returns the mean time of one decision in microseconds for a shard with @p endpoints endpoints and @p queued queued asks.
 double measure(std::string_view placement, std::size_t endpoints, std::size_t queued)
 {
     const Configuration::Objects objects = makeObjects(placement, endpoints);
@@ -100,17 +101,18 @@
     return Base::seconds(Base::now() - begin) * 1e6 / decisions;
 }
 
-/// What a burst costs a dispatcher whose endpoints have room for more runs, but too much to read to be sent any.
+/// Cost of a burst for a dispatcher whose endpoints have free slots, but so much prefill to do that they get no more runs.
 struct BurstCost
 {
-    double microsecondsPerAsk = 0; ///< of everything that the shard does
-    double processorShare = 0; ///< of one core, at the offered rate
+    double microsecondsPerAsk = 0; ///< time of all calls to the shard, per ask
+    double processorShare = 0; ///< share of one core that the calls take at the offered rate of asks
     std::size_t maxQueued = 0;
     double grantedShare = 0;
 };
 
-/// Asks for long prompts of 596 subjects at @p asksPerSecond before engines that take 64 runs at once and read 36.7 tokens in a
-/// ms, as the shifted deployment's do. A run lasts as long as its reading and 3 s of tokens.
+/// Simulates 8 s of asks at @p asksPerSecond with long prompts that have 596 different shared prefixes. The engines run 64
+/// requests at once and prefill 36.7 tokens per ms; the operators of a deployment gave these figures. A run takes its prefill
+/// time and then 3 s of decoding.
 BurstCost measureBurst(std::size_t endpoints, double asksPerSecond)
 {
     constexpr std::uint64_t sharedPrefixes = 596;
@@ -205,7 +207,7 @@
 
 } // namespace
 
-/// The placement policy is the first argument, `affinity` without one.
+/// Prints the measurements. The optional first argument is the placement policy; the default is `affinity`.
 int main(int argc, char **argv)
 {
     const std::string_view placement = argc > 1 ? argv[1] : "affinity";
@@ -227,7 +229,8 @@
         std::size_t endpoints;
         double asksPerSecond;
     };
-    // What the engines can read of it: about 6 asks a second each; the last ones ask for more than that.
+    // An engine can prefill about 6 asks per second: 540 asks per second are about the limit of 90 engines, and 900 for 90
+    // engines and 5600 for 600 engines exceed the limit.
     constexpr std::array<Burst, 5> bursts = {{{90, 270}, {90, 540}, {90, 900}, {320, 1600}, {600, 5600}}};
     for (const Burst &burst : bursts) {
         const BurstCost cost = measureBurst(burst.endpoints, burst.asksPerSecond);
