--- a/Source/Language/plan.cpp
+++ b/Source/Language/plan.cpp
@@ -43,7 +43,7 @@
     return makeError(ErrorKind::UnknownName, fmt::format("there is no {} '{}'{}", kindName(kind), name, hint));
 }
 
-/// Carries out the commands on a copy of the configuration, one after the other.
+/// Applies commands one after another to a copy of the configuration and collects the resulting mutations.
 class Planner
 {
 public:
@@ -56,7 +56,7 @@
     {
         if (m_objects.find(command.kind, command.name) != nullptr) {
             return makeError(ErrorKind::AlreadyExists,
-                             fmt::format("{} '{}' is there already; use set to change it", kindName(command.kind), command.name));
+                             fmt::format("{} '{}' already exists; use set to change it", kindName(command.kind), command.name));
         }
         Object object {command.kind, command.name, m_objects.nextNumber(), {}};
         for (const FieldSchema &field : Configuration::fieldsOf(command.kind)) {
@@ -68,34 +68,34 @@
             object.fields.push_back(
                 {std::string(field.name), given == command.fields.end() ? std::string(field.fallback) : given->value});
         }
-        return store(std::move(object));
+        return validateAndAdd(std::move(object));
     }
 
     absl::Status operator()(const Set &command)
     {
-        const Object *present = m_objects.find(command.kind, command.name);
-        if (present == nullptr) {
+        const Object *existing = m_objects.find(command.kind, command.name);
+        if (existing == nullptr) {
             return unknownName(m_objects, command.kind, command.name);
         }
-        Object object = *present;
+        Object object = *existing;
         for (const FieldValue &given : command.fields) {
             std::ranges::find(object.fields, given.field, &FieldValue::field)->value = given.value;
         }
-        return store(std::move(object));
+        return validateAndAdd(std::move(object));
     }
 
     absl::Status operator()(const Delete &command)
     {
-        const Object *present = m_objects.find(command.kind, command.name);
-        if (present == nullptr) {
+        const Object *existing = m_objects.find(command.kind, command.name);
+        if (existing == nullptr) {
             return unknownName(m_objects, command.kind, command.name);
         }
-        if (const Object *user = m_objects.referrer(command.kind, command.name)) {
+        if (const Object *referringObject = m_objects.referrer(command.kind, command.name)) {
             return makeError(ErrorKind::InUse,
-                             fmt::format("{} '{}' is used by {} '{}'; change that first", kindName(command.kind), command.name,
-                                         kindName(user->kind), user->name));
+                             fmt::format("{} '{}' is used by {} '{}'; change or delete that one first", kindName(command.kind),
+                                         command.name, kindName(referringObject->kind), referringObject->name));
         }
-        add({Object {command.kind, command.name, present->number, {}}, true});
+        add({Object {command.kind, command.name, existing->number, {}}, true});
         return absl::OkStatus();
     }
 
@@ -107,13 +107,13 @@
     absl::Status operator()(const CancelRequest &)
     {
         return makeError(ErrorKind::InvalidValue,
-                         "cancel request acts at once and cannot stand in a transaction with other commands");
+                         "cancel request takes effect immediately and cannot be combined with other commands in a transaction");
     }
 
     absl::Status operator()(const ReleaseWork &)
     {
         return makeError(ErrorKind::InvalidValue,
-                         "release work acts at once and cannot stand in a transaction with other commands");
+                         "release work takes effect immediately and cannot be combined with other commands in a transaction");
     }
 
     std::vector<Mutation> takeMutations()
@@ -122,7 +122,7 @@
     }
 
 private:
-    absl::Status store(Object object)
+    absl::Status validateAndAdd(Object object)
     {
         if (absl::Status status = checkReferences(object); !status.ok()) {
             return status;
@@ -143,15 +143,16 @@
     {
         for (const FieldSchema &field : Configuration::fieldsOf(object.kind)) {
             const std::string_view name = object.value(field.name);
-            const bool refers = field.type == FieldType::Reference && (!name.empty() || field.required);
-            if (refers && m_objects.find(field.reference, name) == nullptr) {
+            const bool mustExist = field.type == FieldType::Reference && (!name.empty() || field.required);
+            if (mustExist && m_objects.find(field.reference, name) == nullptr) {
                 return unknownName(m_objects, field.reference, name);
             }
         }
         return absl::OkStatus();
     }
 
-    /// Two organisations with one key, two tiers of one rank or two endpoints at one address could not be told apart.
+    /// Rejects a value that must be unique within its kind: an organisation's key, a tier's rank or an endpoint's address.
+    /// Two objects with the same value would be indistinguishable.
     absl::Status checkUnique(const Object &object) const
     {
         const std::string_view field = uniqueField(object.kind);
--- a/Utilities/benchdispatch.cpp
+++ b/Utilities/benchdispatch.cpp
@@ -2,8 +2,9 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Measures a dispatcher's decision: one ask taken in and one permit released, by the length of the queue and the number of its
-/// shard's endpoints.
+/// Measures the time of a dispatcher's decision. One decision is an incoming ask (a host's request for an endpoint) and
+/// the release of a permit (a granted slot of an endpoint). The time is measured for several queue lengths and numbers of
+/// endpoints of the shard, and for bursts of asks with long prompts.
 
 #include "Dispatch/shard.h"
 #include "Language/plan.h"
@@ -22,7 +23,7 @@
 
 constexpr std::size_t decisions = 20'000;
 constexpr std::uint32_t organisations = 940;
-constexpr std::size_t usualEndpoints = 32;
+constexpr std::size_t defaultEndpoints = 32;
 
 Configuration::Objects makeObjects(std::string_view placement, std::size_t endpoints)
 {
@@ -53,7 +54,7 @@
     return ask;
 }
 
-/// Mean time of one decision in microseconds with @p queued asks waiting before @p endpoints.
+/// Returns the mean time of one decision in microseconds for a shard with @p endpoints endpoints and @p queued queued asks.
 double measure(std::string_view placement, std::size_t endpoints, std::size_t queued)
 {
     const Configuration::Objects objects = makeObjects(placement, endpoints);
@@ -67,7 +68,7 @@
     Dispatch::Shard shard(info, catalogue, now - std::chrono::seconds(10));
     const Dispatch::Home home {"h", 1};
     std::vector<Peer::Grant> running;
-    const auto takeGrants = [&] {
+    const auto collectGrants = [&] {
         for (const Dispatch::Reply &reply : shard.takeReplies()) {
             if (const auto *grant = std::get_if<Peer::Grant>(&reply.message)) {
                 running.push_back(*grant);
@@ -77,7 +78,7 @@
     std::uint64_t next = 1;
     while (shard.queued() < queued) {
         shard.ask(now, home, makeAsk(next++, objects, random));
-        takeGrants();
+        collectGrants();
     }
     std::vector<Peer::Ask> asks;
     for (std::size_t index = 0; index < decisions; ++index) {
@@ -87,39 +88,40 @@
     for (const Peer::Ask &ask : asks) {
         now += std::chrono::milliseconds(1);
         shard.ask(now, home, ask);
-        takeGrants();
+        collectGrants();
         const std::size_t index = random() % running.size();
-        const Peer::Grant ended = running[index];
+        const Peer::Grant finished = running[index];
         running[index] = running.back();
         running.pop_back();
         shard.release(now, home,
-                      {ended.id, 1, ended.endpoint, Peer::RunResult::Completed, std::chrono::milliseconds(80),
+                      {finished.id, 1, finished.endpoint, Peer::RunResult::Completed, std::chrono::milliseconds(80),
                        std::chrono::milliseconds(18), 40});
-        takeGrants();
+        collectGrants();
     }
     return Base::seconds(Base::now() - begin) * 1e6 / decisions;
 }
 
-/// What a burst costs a dispatcher whose endpoints have room for more runs, but too much to read to be sent any.
+/// Cost of a burst for a dispatcher whose endpoints have free slots, but so much prefill to do that they get no more runs.
 struct BurstCost
 {
-    double microsecondsPerAsk = 0; ///< of everything that the shard does
-    double processorShare = 0; ///< of one core, at the offered rate
-    std::size_t mostQueued = 0;
+    double microsecondsPerAsk = 0; ///< time of all calls to the shard, per ask
+    double processorShare = 0; ///< share of one core that the calls take at the offered rate of asks
+    std::size_t maxQueued = 0;
     double grantedShare = 0;
 };
 
-/// Asks for long prompts of 596 subjects at @p asksPerSecond before engines that take 64 runs at once and read 36.7 tokens in a
-/// ms, as the shifted deployment's do. A run lasts as long as its reading and 3 s of tokens.
+/// Simulates 8 s of asks at @p asksPerSecond with long prompts that have 596 different shared prefixes. The engines run 64
+/// requests at once and prefill 36.7 tokens per ms; the operators of a deployment gave these figures. A run takes its prefill
+/// time and then 3 s of decoding.
 BurstCost measureBurst(std::size_t endpoints, double asksPerSecond)
 {
-    constexpr std::uint64_t subjects = 596;
+    constexpr std::uint64_t sharedPrefixes = 596;
     constexpr std::uint32_t sharedTokens = 13'300;
     constexpr std::uint32_t ownTokens = 3720;
-    constexpr Base::Duration answering = std::chrono::seconds(3);
+    constexpr Base::Duration decodeTime = std::chrono::seconds(3);
     constexpr Base::Duration tickPeriod = std::chrono::milliseconds(50);
-    constexpr Base::Duration played = std::chrono::seconds(8);
-    constexpr double tokensPerMs = 36.7;
+    constexpr Base::Duration simulatedTime = std::chrono::seconds(8);
+    constexpr double prefillTokensPerMs = 36.7;
     std::string text = "create setting queue-limit value 1000000\ncreate setting placement value soonest-first-token\n"
                        "create setting refuse-late value yes\ncreate pool main\n"
                        "create tier t1 rank 1\ncreate tier t2 rank 2\n"
@@ -140,78 +142,79 @@
     Dispatch::Shard shard(info, catalogue, now - std::chrono::seconds(10));
     const Dispatch::Home home {"h", 1};
     std::mt19937_64 random(1);
-    using Ended = std::pair<Base::Instant, std::uint64_t>;
-    std::priority_queue<Ended, std::vector<Ended>, std::greater<>> ends;
+    using RunEnd = std::pair<Base::Instant, std::uint64_t>;
+    std::priority_queue<RunEnd, std::vector<RunEnd>, std::greater<>> runEnds;
     struct Run
     {
         Peer::Grant grant;
         Base::Duration firstToken {};
     };
     std::map<std::uint64_t, Run> running;
-    std::map<std::uint32_t, Base::Instant> readUntil;
+    std::map<std::uint32_t, Base::Instant> prefillEnds;
     BurstCost cost;
-    std::size_t asked = 0;
-    std::size_t granted = 0;
-    double busy = 0;
-    const auto timed = [&](const auto &call) {
+    std::size_t askCount = 0;
+    std::size_t grantCount = 0;
+    double busySeconds = 0;
+    const auto measureCall = [&](const auto &call) {
         const Base::Instant from = Base::now();
         call();
-        busy += Base::seconds(Base::now() - from);
-        cost.mostQueued = std::max(cost.mostQueued, shard.queued());
+        busySeconds += Base::seconds(Base::now() - from);
+        cost.maxQueued = std::max(cost.maxQueued, shard.queued());
         for (const Dispatch::Reply &reply : shard.takeReplies()) {
             if (const auto *grant = std::get_if<Peer::Grant>(&reply.message)) {
-                ++granted;
-                const auto reading = std::chrono::duration_cast<Base::Duration>(
-                    std::chrono::duration<double, std::milli>((ownTokens + 0.2 * sharedTokens) / tokensPerMs));
-                Base::Instant &until = readUntil[grant->endpoint];
-                until = std::max(until, now) + reading;
-                running[grant->id.request] = {*grant, until - now};
-                ends.emplace(until + answering, grant->id.request);
+                ++grantCount;
+                const auto prefillTime = std::chrono::duration_cast<Base::Duration>(
+                    std::chrono::duration<double, std::milli>((ownTokens + 0.2 * sharedTokens) / prefillTokensPerMs));
+                Base::Instant &prefillEnd = prefillEnds[grant->endpoint];
+                prefillEnd = std::max(prefillEnd, now) + prefillTime;
+                running[grant->id.request] = {*grant, prefillEnd - now};
+                runEnds.emplace(prefillEnd + decodeTime, grant->id.request);
             }
         }
     };
     Base::Instant nextTick = now + tickPeriod;
     std::exponential_distribution<double> gap(asksPerSecond);
-    for (; now < begin + played; now += std::chrono::duration_cast<Base::Duration>(std::chrono::duration<double>(gap(random)))) {
+    for (; now < begin + simulatedTime;
+         now += std::chrono::duration_cast<Base::Duration>(std::chrono::duration<double>(gap(random)))) {
         for (; nextTick <= now; nextTick += tickPeriod) {
-            timed([&] { shard.tick(nextTick); });
+            measureCall([&] { shard.tick(nextTick); });
         }
-        while (!ends.empty() && ends.top().first <= now) {
-            const Run ended = running.at(ends.top().second);
-            running.erase(ends.top().second);
-            ends.pop();
-            timed([&] {
+        while (!runEnds.empty() && runEnds.top().first <= now) {
+            const Run finished = running.at(runEnds.top().second);
+            running.erase(runEnds.top().second);
+            runEnds.pop();
+            measureCall([&] {
                 shard.release(now, home,
-                              {ended.grant.id, 1, ended.grant.endpoint, Peer::RunResult::Completed, ended.firstToken,
+                              {finished.grant.id, 1, finished.grant.endpoint, Peer::RunResult::Completed, finished.firstToken,
                                std::chrono::milliseconds(18), 40});
             });
         }
         Peer::Ask ask;
-        ask.id = {++asked, 1};
+        ask.id = {++askCount, 1};
         ask.requestClass = objects.find(Configuration::Kind::Class, random() % 3 == 0 ? "c1" : "c2")->number;
         ask.remaining = std::chrono::seconds(12);
         ask.promptTokens = sharedTokens + ownTokens;
         ask.expectedTokens = 120;
-        ask.prefix = {1, 2 + random() % subjects, 1'000'000 + asked};
+        ask.prefix = {1, 2 + random() % sharedPrefixes, 1'000'000 + askCount};
         ask.prefixTokens = {400, sharedTokens, sharedTokens + ownTokens};
-        timed([&] { shard.ask(now, home, ask); });
+        measureCall([&] { shard.ask(now, home, ask); });
     }
-    cost.microsecondsPerAsk = busy * 1e6 / static_cast<double>(asked);
-    cost.processorShare = busy / Base::seconds(played);
-    cost.grantedShare = static_cast<double>(granted) / static_cast<double>(asked);
+    cost.microsecondsPerAsk = busySeconds * 1e6 / static_cast<double>(askCount);
+    cost.processorShare = busySeconds / Base::seconds(simulatedTime);
+    cost.grantedShare = static_cast<double>(grantCount) / static_cast<double>(askCount);
     return cost;
 }
 
 } // namespace
 
-/// The placement policy is the first argument, `affinity` without one.
+/// Prints the measurements. The optional first argument is the placement policy; the default is `affinity`.
 int main(int argc, char **argv)
 {
     const std::string_view placement = argc > 1 ? argv[1] : "affinity";
     constexpr std::array<std::size_t, 4> lengths = {0, 100, 1000, 10'000};
-    const double empty = measure(placement, usualEndpoints, lengths.front());
+    const double empty = measure(placement, defaultEndpoints, lengths.front());
     for (const std::size_t length : lengths) {
-        const double time = measure(placement, usualEndpoints, length);
+        const double time = measure(placement, defaultEndpoints, length);
         fmt::print("{:>6} asks queued: {:.2f} us for an ask and a release, {:.2f} times the empty queue's\n", length, time,
                    time / empty);
     }
@@ -226,12 +229,13 @@
         std::size_t endpoints;
         double asksPerSecond;
     };
-    // What the engines can read of it: about 6 asks a second each; the last ones ask for more than that.
+    // An engine can prefill about 6 asks per second: 540 asks per second are about the limit of 90 engines, and 900 for 90
+    // engines and 5600 for 600 engines exceed the limit.
     constexpr std::array<Burst, 5> bursts = {{{90, 270}, {90, 540}, {90, 900}, {320, 1600}, {600, 5600}}};
     for (const Burst &burst : bursts) {
         const BurstCost cost = measureBurst(burst.endpoints, burst.asksPerSecond);
         fmt::print("{:>6} endpoints, {} asks a second: {:.1f} us an ask, {:.3f} of a core, {} queued at most, {:.2f} granted\n",
-                   burst.endpoints, burst.asksPerSecond, cost.microsecondsPerAsk, cost.processorShare, cost.mostQueued,
+                   burst.endpoints, burst.asksPerSecond, cost.microsecondsPerAsk, cost.processorShare, cost.maxQueued,
                    cost.grantedShare);
     }
     return 0;
