--- a/Source/FaultProxy/proxyprogram.cpp
+++ b/Source/FaultProxy/proxyprogram.cpp
@@ -59,8 +59,8 @@
     exchange.respond({status, {{"content-type", std::string(Http::jsonType)}}, body.dump() + "\n"});
 }
 
-/// Handles one request of the HTTP interface. GET / lists the routes. POST /ROUTE replaces the faults of that route; `"cut":
-/// true` in the body also closes its connections.
+/// Handles one request of the HTTP interface. GET / lists the routes. POST /ROUTE replaces the faults of that route.
+/// With `"cut": true` in the body it also closes the connections of the route.
 void handleRequest(const Routes &routes, Http::Exchange &exchange)
 {
     const Http::Request &request = exchange.request();
--- a/Source/Standin/service.h
+++ b/Source/Standin/service.h
@@ -41,7 +41,7 @@
 
 private:
     void startCall(const std::shared_ptr<Http::Exchange> &exchange);
-    /// Returns whether the fencing token in the yokepond-fence header is newer than the last one for @p key, and stores it.
+    /// Returns whether the fencing token in the yokepond-fence header is newer than the last one for @p key. If so, stores it.
     /// Always returns true if checksFences is off.
     bool acceptFence(const Http::Request &request, const std::string &key);
     void setFaults(const std::shared_ptr<Http::Exchange> &exchange);
