--- a/Source/Relay/adoptedexchange.h
+++ b/Source/Relay/adoptedexchange.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The exchange of a request that another host passed on.
+/// The exchange of a request that another host forwarded.
 
 #pragma once
 
@@ -14,15 +14,17 @@
 
 namespace Yokepond::Relay {
 
-/// Stands for the caller of a request that another host passed on: collects the answer.
+/// Takes the place of a caller's connection for a request that another host forwarded.
+///
+/// It collects the response in memory and passes it to a handler. The other host sends it to the caller.
 class AdoptedExchange : public Http::Exchange
 {
 public:
-    using Done = std::function<void(Http::Response)>;
+    using ResponseHandler = std::function<void(Http::Response)>;
 
-    AdoptedExchange(Http::Request request, Done done)
+    AdoptedExchange(Http::Request request, ResponseHandler handler)
         : m_request(std::move(request))
-        , m_done(std::move(done))
+        , m_handler(std::move(handler))
     {
     }
 
@@ -33,7 +35,7 @@
 
     void respond(Http::Response response) override
     {
-        m_done(std::move(response));
+        m_handler(std::move(response));
     }
 
     void beginStream(int status, Http::Headers headers) override
@@ -53,7 +55,7 @@
 
     void finish() override
     {
-        m_done(std::move(m_response));
+        m_handler(std::move(m_response));
     }
 
     void abort() override
@@ -76,7 +78,7 @@
 private:
     Http::Request m_request;
     Http::Response m_response;
-    Done m_done;
+    ResponseHandler m_handler;
 };
 
 } // namespace Yokepond::Relay
--- a/Source/Relay/call.h
+++ b/Source/Relay/call.h
@@ -2,7 +2,10 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What the relay's thread and the decisions' thread say to each other.
+/// The events and commands that the relay's thread and the daemon's main thread exchange.
+///
+/// The relay's thread carries the data. The main thread decides which endpoint runs a request, and when; its part that keeps the
+/// state of this host's requests is the home (Request::Home).
 
 #pragma once
 
@@ -19,55 +22,59 @@
 
 namespace Yokepond::Relay {
 
-// From the relay
+// --- Events from the relay
 
-/// A caller's request has come whole. The relay keeps its body.
+/// Reports that a caller's request has been received completely. The relay keeps its body.
 struct CallArrived
 {
     std::uint64_t id = 0;
     std::string method;
     std::string path;
     std::string keyDigest; ///< SHA-256 of the bearer key, empty if there was none
-    std::string className; ///< of the Yokepond-Class header, may be empty
+    std::string className; ///< value of the Yokepond-Class header, may be empty
     std::string idempotencyKey; ///< may be empty
-    std::string bodyDigest; ///< SHA-256 of the body, only if there is an idempotency key
-    bool waitForRun = false; ///< `Prefer: wait`
-    std::optional<Http::Request> fullRequest; ///< the request itself, only if there is an idempotency key
-    bool forwarded = false; ///< it came from another host
-    std::string host; ///< of the Host header, lower case, without its port
-    std::string model; ///< that the request names, may be empty
+    std::string bodyDigest; ///< SHA-256 of method, path and body, only if there is an idempotency key
+    bool waitForRun = false; ///< whether the request has the header `Prefer: wait`
+    std::optional<Http::Request> fullRequest; ///< copy of the request, only if there is an idempotency key
+    bool forwarded = false; ///< whether another host forwarded the request
+    std::string host; ///< value of the Host header in lower case, without the port
+    std::string model; ///< name of the requested model, may be empty
     std::uint32_t promptTokens = 0;
-    std::uint32_t expectedTokens = 0; ///< of the answer, 0 if not known
-    std::vector<std::uint64_t> prefix;
-    std::vector<std::uint32_t> prefixTokens; ///< tokens up to the end of each entry of prefix; may be empty
-    std::string callerRequestId; ///< of the request, where its protocol has one; for logs
-    bool streams = false; ///< its answer is to be a stream
-    std::uint64_t work = 0; ///< of method, path, query and body: equal for all tries of the same work, at any host
-    Base::Duration timeLeft {}; ///< that the caller will wait; zero: it did not say
-    absl::Status error; ///< not OK if the request is not what its path or protocol needs
+    std::uint32_t expectedTokens = 0; ///< expected length of the response in tokens, 0 if unknown
+    std::vector<std::uint64_t> prefix; ///< hashes of ever longer prefixes of the prompt
+    std::vector<std::uint32_t> prefixTokens; ///< number of prompt tokens up to the end of each entry of prefix; may be empty
+    std::string callerRequestId; ///< the caller's id for the request, for logs; empty if the protocol has none
+    bool streams = false; ///< whether the caller requests a streamed response
+    std::uint64_t work = 0; ///< hash of method, path, query and body: equal for all attempts of the same work, at any host
+    Base::Duration timeLeft {}; ///< how long the caller will wait; zero if the request does not say
+    absl::Status error; ///< not OK if the request is invalid for its path or protocol
 };
 
-/// The caller closed its connection before its answer ended.
+/// Reports that the caller closed its connection before the response was complete.
 struct CallerDisconnected
 {
     std::uint64_t id = 0;
 };
 
-/// A run has ended; with the answer if the command asked to hold it.
+/// Reports the end of a run, with the response if Run::reportResponse asked for it.
 struct RunEnded
 {
     Request::RunReport report;
     std::optional<Http::Response> response;
 };
 
-/// An endpoint has begun a request, by its first token or, where there are none, by its answer; only if RelayOptions ask.
+/// Reports that an endpoint has started a request. The sign is the first token, or the response itself if it has no tokens.
+///
+/// It is sent only if RelayOptions::reportRunStarts is set.
 struct RunStarted
 {
     std::string organisation;
     Base::Instant at {};
 };
 
-/// An endpoint's answer has begun, and says something of its endpoint, or names no rate where one was known.
+/// Reports what the head of an endpoint's response advertises about the endpoint.
+///
+/// It is also sent for a response without a rate if Run::reportRate is set.
 struct EndpointAdvertised
 {
     Peer::AttemptId id;
@@ -75,58 +82,58 @@
     Request::EndpointAdvertisement advertisement;
 };
 
-/// The answer to a request that came by Adopt.
+/// Carries the response to a request that was passed to the relay by Adopt.
 struct AdoptedResponse
 {
-    std::uint64_t token = 0;
+    std::uint64_t token = 0; ///< the token of the Adopt command
     Http::Response response;
 };
 
 using Event = std::variant<CallArrived, CallerDisconnected, RunEnded, RunStarted, EndpointAdvertised, AdoptedResponse>;
 
-// To the relay
+// --- Commands to the relay
 
-/// Sends the kept request to an endpoint and passes its answer on.
+/// Sends the kept request to an endpoint and passes the endpoint's response on to the caller.
 struct Run
 {
     Peer::AttemptId id;
     std::string requestName; ///< unique in the fleet
-    std::string callerRequestId; ///< of the request, where its protocol has one
-    std::string address; ///< of the endpoint, ip:port
-    std::string endpoint; ///< its name
+    std::string callerRequestId; ///< the caller's id for the request, empty if the protocol has none
+    std::string address; ///< the endpoint's ip:port
+    std::string endpoint; ///< the endpoint's name
     std::uint32_t endpointNumber = 0;
-    std::string keeper; ///< address of an endpoint that keeps a part of the prompt for this one to take over; may be empty
-    std::string organisation; ///< the caller's, may be empty
+    std::string keeper; ///< address of an endpoint that caches a prefix of the prompt, for this one to fetch; may be empty
+    std::string organisation; ///< the caller's organisation, may be empty
     std::string path;
-    bool engine = true; ///< an engine, whose answers are OpenAI-style; else a plain service
-    int priority = 0; ///< the tier's rank, for the engine's own queue
-    bool repeatable = true;
-    bool reportRate = false; ///< send EndpointStated also if the answer states no rate
-    bool reportResponse = false; ///< report the whole answer, to be given again for the same idempotency key
-    std::string operationKey; ///< told to the endpoint, may be empty
-    std::string fence; ///< for endpoints that check orders, may be empty
-    Base::Instant startBy {};
-    Base::Instant deadline {}; ///< by which the answer must have ended, where the protocol tells endpoints
+    bool engine = true; ///< whether the endpoint is an engine with OpenAI-style responses; otherwise it is a plain service
+    int priority = 0; ///< rank of the request's tier, for the engine's own queue
+    bool repeatable = true; ///< whether the request may run more than once
+    bool reportRate = false; ///< whether to send EndpointAdvertised also if the response advertises no rate
+    bool reportResponse = false; ///< whether to report the complete response, for later requests with the same idempotency key
+    std::string operationKey; ///< idempotency key that is sent to the endpoint, may be empty
+    std::string fence; ///< fencing token for endpoints that check the order of runs, may be empty
+    Base::Instant startBy {}; ///< time after which the run must not be started
+    Base::Instant deadline {}; ///< time by which the response must be complete, for protocols that send it to endpoints
 };
 
-/// The whole answer to a caller, in place of a run's.
+/// Ends a call with a response that does not come from an endpoint, usually an error.
 struct Respond
 {
     std::uint64_t id = 0;
     Http::Response response;
-    bool preferEndpointResponse = false; ///< if the last endpoint's whole answer was a failure, pass that on instead
+    bool preferEndpointResponse = false; ///< whether to send the last endpoint's complete error response instead, if there is one
 };
 
-/// Ends a run and closes its connection; no report follows.
+/// Cancels a run and closes its connection. No RunEnded follows.
 struct Stop
 {
     std::uint64_t id = 0;
 };
 
-/// A request that another host passed on; its answer comes back as AdoptedAnswer.
+/// Starts a call for a request that another host forwarded. The response is returned as AdoptedResponse.
 struct Adopt
 {
-    std::uint64_t token = 0;
+    std::uint64_t token = 0; ///< returned with the response
     Http::Request request;
 };
 
--- a/Source/Relay/eventsplitter.cpp
+++ b/Source/Relay/eventsplitter.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-constexpr std::string_view doneMark = "[DONE]";
+constexpr std::string_view doneMarker = "[DONE]";
 
-/// The length of the first whole event of @p text with its blank line, or npos. Lines may end in "\n" or "\r\n".
+/// Returns the length of the first complete event in @p text, including its blank line, or npos if there is none. The blank line
+/// is searched from @p from on. Lines may end in "\n" or "\r\n".
 std::size_t eventLength(std::string_view text, std::size_t from)
 {
     for (std::size_t position = text.find('\n', from); position != std::string_view::npos;
@@ -35,7 +36,7 @@
         line = Base::trimmed(line);
         if (Base::consumePrefix(line, "data:")) {
             event.hasData = true;
-            event.isDone = Base::trimmed(line) == doneMark;
+            event.isDone = Base::trimmed(line) == doneMarker;
         } else if (Base::consumePrefix(line, "id:")) {
             event.id = Base::trimmed(line);
         } else if (Base::consumePrefix(line, "event:")) {
@@ -50,7 +51,8 @@
 std::vector<ServerSentEvent> EventSplitter::feed(std::string_view bytes)
 {
     std::vector<ServerSentEvent> events;
-    // The end of an event may straddle two calls by up to three bytes.
+    // Up to three bytes of the blank line may have been received with the previous call, so the search starts before the new
+    // bytes.
     std::size_t from = m_partial.size() > 3 ? m_partial.size() - 3 : 0;
     m_partial.append(bytes);
     std::string_view rest = m_partial;
--- a/Source/Relay/eventsplitter.h
+++ b/Source/Relay/eventsplitter.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// Cuts a stream of server-sent events into whole events (WHATWG HTML, section 9.2).
+/// Splits a stream of server-sent events into complete events (WHATWG HTML, section 9.2).
 
 #pragma once
 
@@ -12,26 +12,28 @@
 
 namespace Yokepond::Relay {
 
-/// One whole event as it came, with its blank line.
+/// One complete event.
 struct ServerSentEvent
 {
-    std::string bytes;
-    std::string id; ///< of its `id:` line, empty if it has none
-    bool hasData = false;
-    bool isDone = false; ///< `data: [DONE]`, the last event of an OpenAI-style stream
-    bool isError = false; ///< `event: error`
+    std::string bytes; ///< the event as received, including the blank line at its end
+    std::string id; ///< value of its `id:` line, empty if it has none
+    bool hasData = false; ///< whether it has a `data:` line
+    bool isDone = false; ///< whether it is `data: [DONE]`, the last event of an OpenAI-style stream
+    bool isError = false; ///< whether it is an `event: error`
 };
 
+/// Splits the bytes of a stream, received in arbitrary pieces, into events.
 class EventSplitter
 {
 public:
-    /// Events that @p bytes complete, in order. Bytes of an event that is not whole are kept.
+    /// Appends @p bytes to the stream and returns the events that they complete, in order. The bytes of an incomplete event are
+    /// kept for the next call.
     std::vector<ServerSentEvent> feed(std::string_view bytes);
 
-    /// Forgets the beginning of an event that was cut off.
+    /// Discards the bytes of an incomplete event.
     void reset();
 
-    /// Bytes held of an event that is not whole.
+    /// Returns the number of bytes kept of an incomplete event.
     std::size_t pendingBytes() const;
 
 private:
--- a/Source/Relay/openaiprotocol.cpp
+++ b/Source/Relay/openaiprotocol.cpp
@@ -80,7 +80,7 @@
     return transfer;
 }
 
-/// A GET that names the run can start nothing.
+/// The resume request is a GET of the existing run, so it cannot start the request again.
 std::optional<Http::Transfer> OpenAiProtocol::buildResumeTransfer(const Run &run, const std::string &lastEventId) const
 {
     Http::Transfer transfer;
@@ -108,11 +108,11 @@
 
 Request::EndpointAdvertisement OpenAiProtocol::advertisement(const Run &run, const ResponseHead &head) const
 {
-    // A service's 429 may be an answer of its application to one caller.
-    const bool turnedAway = head.status == httpUnavailable || (run.engine && head.status == httpTooManyRequests);
+    // A service's application may send 429 to a single caller, so only an engine's 429 says something about the endpoint.
+    const bool rejected = head.status == httpUnavailable || (run.engine && head.status == httpTooManyRequests);
     return {Rate::parseAdvertisedRate(Http::headerValue(head.headers, advertisedRateHeader)),
             Availability::parseAdvertisedAvailability({Http::headerValue(head.headers, leavingHeader),
-                                                       turnedAway ? Http::headerValue(head.headers, "retry-after") : std::nullopt,
+                                                       rejected ? Http::headerValue(head.headers, "retry-after") : std::nullopt,
                                                        Http::headerValue(head.headers, "date")})};
 }
 
--- a/Source/Relay/openaiprotocol.h
+++ b/Source/Relay/openaiprotocol.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The product's own form of requests: OpenAI-style completions, and plain services beside them. docs/CALLERS.md tells it.
+/// The relay protocol for OpenAI-style completions and for plain services. docs/CALLERS.md describes it for callers.
 
 #pragma once
 
@@ -12,17 +12,18 @@
 
 namespace Yokepond::Relay {
 
-/// Of an endpoint's answer: the requests a second that it takes from all hosts together.
+/// Response header of an endpoint: the requests per second that it accepts from all hosts together.
 inline constexpr std::string_view advertisedRateHeader = "yokepond-requests-per-second";
-/// Of an endpoint's answer: `1` where it takes no further requests, since it is about to end.
+/// Response header of an endpoint: `1` if it accepts no further requests because it is about to shut down.
 inline constexpr std::string_view leavingHeader = "yokepond-leaving";
 
+/// Implements the Protocol concept, which documents the functions.
 class OpenAiProtocol
 {
 public:
     struct State
     {
-        nlohmann::json body; ///< of a completion
+        nlohmann::json body; ///< parsed body of a completion request; null for other requests
     };
 
     static constexpr bool marksLastEvent = true;
--- a/Source/Relay/prompt.cpp
+++ b/Source/Relay/prompt.cpp
@@ -12,16 +12,17 @@
 
 namespace {
 
-constexpr std::uint32_t bytesPerToken = 4;
-/// Lengths of the beginnings that are hashed; a longer one that agrees saves an engine more.
-constexpr std::array<std::size_t, 4> prefixBytes = {256, 1024, 4096, 16384};
+constexpr std::uint32_t bytesPerToken = 4; ///< assumed for the estimate of a prompt's length
+/// Lengths in bytes of the prompt prefixes that are hashed. The longer the prefix that an engine has cached, the less prefill it
+/// needs.
+constexpr std::array<std::size_t, 4> prefixLengths = {256, 1024, 4096, 16384};
 
 absl::Status invalid(std::string_view message)
 {
     return Base::makeError(Base::ErrorKind::InvalidRequest, message);
 }
 
-/// A message's content is a text or a list of parts, some of which are text.
+/// Appends the text of a message's content, which is either a string or a list of parts of which some are text.
 void appendContent(std::string &text, const nlohmann::json &content)
 {
     if (content.is_string()) {
@@ -60,7 +61,7 @@
 {
     const auto prompt = body.find("prompt");
     if (prompt == body.end() || !prompt->is_string()) {
-        return invalid("prompt: expected a text");
+        return invalid("prompt: expected a string");
     }
     return prompt->get<std::string>();
 }
@@ -68,7 +69,7 @@
 std::vector<std::uint64_t> prefixHashes(std::string_view text)
 {
     std::vector<std::uint64_t> hashes;
-    for (const std::size_t length : prefixBytes) {
+    for (const std::size_t length : prefixLengths) {
         if (text.size() >= length) {
             hashes.push_back(Base::hash64(text.substr(0, length)));
         }
@@ -87,7 +88,7 @@
     }
     const auto model = prompt.body.find("model");
     if (model != prompt.body.end() && !model->is_string()) {
-        return invalid("model: expected a text");
+        return invalid("model: expected a string");
     }
     const auto stream = prompt.body.find("stream");
     if (stream != prompt.body.end() && !stream->is_boolean()) {
--- a/Source/Relay/prompt.h
+++ b/Source/Relay/prompt.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What of an OpenAI-style request body decides about placement.
+/// Extracts what placement needs from the body of an OpenAI-style request.
 
 #pragma once
 
@@ -16,16 +16,17 @@
 
 namespace Yokepond::Relay {
 
+/// A parsed completion request.
 struct Prompt
 {
     nlohmann::json body;
     std::string model;
-    bool stream = false;
-    std::uint32_t tokens = 0; ///< estimate from the prompt's length
-    std::vector<std::uint64_t> prefix; ///< hashes of ever longer beginnings of the prompt
+    bool stream = false; ///< whether the request asks for a streamed response
+    std::uint32_t tokens = 0; ///< number of prompt tokens, estimated from the prompt's length in bytes
+    std::vector<std::uint64_t> prefix; ///< hashes of ever longer prefixes of the prompt
 };
 
-/// Parses the body of a chat or text completion. Fails with ErrorKind::InvalidRequest.
+/// Parses the body of a chat completion, or of a text completion if @p chat is false. Fails with ErrorKind::InvalidRequest.
 absl::StatusOr<Prompt> parsePrompt(std::string_view body, bool chat);
 
 } // namespace Yokepond::Relay
--- a/Source/Relay/protocol.h
+++ b/Source/Relay/protocol.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What the relay needs to know of the form of callers' requests and endpoints' answers.
+/// The interface of a relay protocol: the format of callers' requests and of endpoints' responses.
 
 #pragma once
 
@@ -16,61 +16,68 @@
 
 namespace Yokepond::Relay {
 
-/// The status line and the headers of an endpoint's answer.
+/// The status code and the headers of an endpoint's response.
 struct ResponseHead
 {
-    int status = 0; ///< 0 if none has come
+    int status = 0; ///< 0 if no status line has been received
     Http::Headers headers;
 };
 
-/// What an endpoint's answer is to its caller, by its head.
+/// How the relay treats an endpoint's response; determined by the response's head.
 enum class ResponseKind {
-    Events, ///< a stream of server-sent events, passed on one by one
-    Body, ///< passed on when it is whole
-    Rejected, ///< the endpoint says that it did not run the request
-    EndpointReplaced, ///< another endpoint answers at the address and did not run the request; the one that was meant is no more
-    Failed, ///< an error of the endpoint, or not an answer to this request
+    Events, ///< a stream of server-sent events, which are passed on one by one
+    Body, ///< an ordinary response, which is passed on when it is complete
+    Rejected, ///< the endpoint reports that it did not run the request
+    EndpointReplaced, ///< the address now belongs to another endpoint, which did not run the request; the intended one no longer
+                      ///< exists
+    Failed, ///< an error of the endpoint, or not a response to this request
 };
 
-/// The form of callers' requests and of endpoints' answers. `State` is what it keeps of a request beside its bytes.
+/// A protocol between callers, the relay and endpoints. It parses callers' requests, builds the requests to endpoints, and
+/// classifies endpoints' responses. `State` is what the protocol keeps of a request, in addition to the request's bytes.
 template<typename P>
 concept Protocol
     = requires(const P protocol, typename P::State &state, const typename P::State &constant, const Http::Request &request,
                CallArrived &event, const Run &run, const ResponseHead &head, const std::string &lastEventId) {
-          /// Fills in what the request says of itself.
+          /// Parses the request and fills in the event's fields.
           protocol.describeRequest(request, state, event);
-          /// The request as the endpoint gets it; @p lastEventId is the last event the caller has, empty before the first.
+          /// Returns the request to send to the endpoint. @p lastEventId is the id of the last event sent to the caller; it is
+          /// empty before the first event.
           {
               protocol.buildTransfer(constant, request, run, lastEventId)
           } -> std::same_as<Http::Transfer>;
-          /// Asks the same endpoint for the rest of a stream that broke off; nothing if the protocol knows no such request.
+          /// Returns a request to the same endpoint for the remaining events of an interrupted stream, or nothing if the protocol
+          /// cannot resume streams.
           {
               protocol.buildResumeTransfer(run, lastEventId)
           } -> std::same_as<std::optional<Http::Transfer>>;
+          /// Returns how to treat the response.
           {
               protocol.classifyResponse(run, head)
           } -> std::same_as<ResponseKind>;
-          /// What the endpoint says of itself. @p head is not ResponseKind::EndpointReplaced, which is another endpoint's.
+          /// Returns the rate limit and the availability that the response advertises for its endpoint. It is not called for
+          /// ResponseKind::EndpointReplaced, which comes from another endpoint.
           {
               protocol.advertisement(run, head)
           } -> std::same_as<Request::EndpointAdvertisement>;
-          /// The headers the caller gets with a stream, and with a whole body.
+          /// Returns the headers to send to the caller with a stream.
           {
               protocol.streamHeaders(run, head)
           } -> std::same_as<Http::Headers>;
+          /// Returns the headers to send to the caller with a complete body.
           {
               protocol.bodyHeaders(run, head)
           } -> std::same_as<Http::Headers>;
-          /// Whether the last event of a stream is marked; else a stream ends with the transfer.
+          /// Whether the last event of a stream is marked as such; otherwise a stream ends with the transfer.
           {
               P::marksLastEvent
           } -> std::convertible_to<bool>;
-          /// Whether a body without a length is whole when its connection was closed in order.
+          /// Whether a body of unknown length is complete when the endpoint closes the connection cleanly.
           {
               P::closeEndsBody
           } -> std::convertible_to<bool>;
-          /// Whether a stream tells its outcome within itself: by a trailer, or by an error event where it fails. Else a stream
-          /// that fails is cut.
+          /// Whether a stream carries its outcome: in a trailer, or in an error event if it fails. Otherwise the connection is
+          /// closed when a stream fails.
           {
               P::streamCarriesOutcome
           } -> std::convertible_to<bool>;
--- a/Source/Relay/relay.h
+++ b/Source/Relay/relay.h
@@ -2,8 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The data path: a thread that takes callers' requests, carries them to the endpoints that the decisions name, and passes
-/// each event on as it comes.
+/// The data path: a thread that receives callers' requests, sends them to the endpoints that the daemon's main thread selects,
+/// and passes each event of the response on as soon as it is received.
 
 #pragma once
 
@@ -22,42 +22,44 @@
     Base::Address listen;
     Http::ServerLimits limits;
     Base::Duration connectTimeout = std::chrono::milliseconds(500);
-    std::size_t streamBufferBytes = 256U << 10U; ///< held for a slow caller before its endpoint is held back
-    bool reportRunStarts = false; ///< send RunBegan
-    std::size_t maxReportedResponseBytes = 1U << 20U; ///< largest answer kept whole
+    std::size_t streamBufferBytes = 256U << 10U; ///< bytes buffered for a slow caller before reading from the endpoint is paused
+    bool reportRunStarts = false; ///< whether to send RunStarted
+    std::size_t maxReportedResponseBytes = 1U << 20U; ///< largest response that is reported for Run::reportResponse
 };
 
-/// Totals since the start; written by the relay's thread, read by any.
+/// Counters of the relay. They are written by the relay's thread and may be read by any thread.
+///
+/// All but `open` and `unsent` are totals since the start.
 struct RelayCounters
 {
-    std::atomic<std::uint64_t> calls = 0;
-    std::atomic<std::uint64_t> runs = 0;
-    std::atomic<std::uint64_t> resumes = 0;
-    std::atomic<std::uint64_t> events = 0;
-    std::atomic<std::uint64_t> open = 0;
-    std::atomic<std::uint64_t> unsent = 0; ///< requests whose answers have not been handed to the kernel whole
-    std::atomic<std::int64_t> processorMicroseconds = 0;
+    std::atomic<std::uint64_t> calls = 0; ///< callers' requests received
+    std::atomic<std::uint64_t> runs = 0; ///< runs started at endpoints
+    std::atomic<std::uint64_t> resumes = 0; ///< interrupted streams that were requested again from their endpoint
+    std::atomic<std::uint64_t> events = 0; ///< server-sent events passed on
+    std::atomic<std::uint64_t> open = 0; ///< calls in progress
+    std::atomic<std::uint64_t> unsent = 0; ///< requests whose responses have not been passed to the kernel completely
+    std::atomic<std::int64_t> processorMicroseconds = 0; ///< processor time of the relay's thread
 };
 
-/// Makes the body of an error answer.
-using ErrorBody = std::function<std::string(const absl::Status &)>;
+/// Returns the body of an error response.
+using ErrorBodyFormatter = std::function<std::string(const absl::Status &)>;
 
-/// The data path as the decisions see it; relaythread.h has its one implementation.
+/// Interface of the data path for the daemon's main thread. relaythread.h has the only implementation.
 class Relay
 {
 public:
-    /// Called on the relay's thread; it must only queue the event.
+    /// Receives an event on the relay's thread. It must only queue the event and return.
     using Handler = std::function<void(Event)>;
 
     virtual ~Relay() = default;
 
-    /// Callable from any thread.
+    /// Queues a command for the relay's thread. It may be called from any thread.
     virtual void command(Command command) = 0;
 
     /// Stops accepting connections.
     virtual void closeListener() = 0;
 
-    /// From now on each answer ends its connection.
+    /// Closes each connection after its next response, from now on.
     virtual void closeAfterResponses() = 0;
 
     virtual std::uint16_t port() const = 0;
--- a/Source/Relay/relaythread.h
+++ b/Source/Relay/relaythread.h
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The relay's thread, for any protocol: callers' connections, transfers to endpoints, and the events between them.
+/// The relay's thread, as a template of the protocol. It serves callers' connections, runs the transfers to endpoints, and passes
+/// the events of responses from endpoints to callers.
 
 #pragma once
 
@@ -25,34 +26,37 @@
 
 namespace Yokepond::Relay {
 
-/// Rejoins of one stream at its endpoint, after which it counts as broken off.
-inline constexpr int mostRejoins = 3;
-/// Fewer open calls than these are not worth giving memory back for.
-inline constexpr std::size_t leastCallsToTrim = 200;
-/// An event that is longer ends its run.
-inline constexpr std::size_t largestEvent = 1U << 20U;
-inline constexpr Base::Duration accountingPeriod = std::chrono::milliseconds(250);
+/// Number of times an interrupted stream is resumed at its endpoint. After that, the run fails.
+inline constexpr int maxResumes = 3;
+/// Free memory is returned to the system only after a peak of more open calls than this; a smaller peak leaves too little to
+/// return.
+inline constexpr std::size_t minCallsToTrim = 200;
+/// Size limit of one event. A longer one fails its run.
+inline constexpr std::size_t maxEventBytes = 1U << 20U;
+inline constexpr Base::Duration counterUpdatePeriod = std::chrono::milliseconds(250);
 
+/// Implements the relay for the protocol @p P on a thread of its own.
 template<Protocol P>
 class RelayThread : public Relay
 {
 public:
-    /// Listens and starts the thread. Fails with ErrorKind::InvalidSettings.
-    static absl::StatusOr<std::unique_ptr<Relay>> start(RelayOptions options, P protocol, Handler handler, ErrorBody errorBody)
+    /// Opens the listener and starts the thread. Fails with ErrorKind::InvalidSettings if the address is not available.
+    static absl::StatusOr<std::unique_ptr<Relay>> start(RelayOptions options, P protocol, Handler handler,
+                                                        ErrorBodyFormatter formatErrorBody)
     {
-        auto relay
-            = std::make_unique<RelayThread>(std::move(options), std::move(protocol), std::move(handler), std::move(errorBody));
+        auto relay = std::make_unique<RelayThread>(std::move(options), std::move(protocol), std::move(handler),
+                                                   std::move(formatErrorBody));
         if (absl::Status status = relay->startThread(); !status.ok()) {
             return status;
         }
         return relay;
     }
 
-    RelayThread(RelayOptions options, P protocol, Handler handler, ErrorBody errorBody)
+    RelayThread(RelayOptions options, P protocol, Handler handler, ErrorBodyFormatter formatErrorBody)
         : m_options(std::move(options))
         , m_protocol(std::move(protocol))
         , m_handler(std::move(handler))
-        , m_errorBody(std::move(errorBody))
+        , m_formatErrorBody(std::move(formatErrorBody))
     {
     }
 
@@ -72,7 +76,7 @@
     void command(Command command) override
     {
         m_mailbox->post([this, command = std::move(command)]() mutable {
-            std::visit([this]<typename Entry>(Entry &&entry) { carryOut(std::forward<Entry>(entry)); }, std::move(command));
+            std::visit([this]<typename Entry>(Entry &&entry) { execute(std::forward<Entry>(entry)); }, std::move(command));
         });
     }
 
@@ -97,20 +101,20 @@
     }
 
 private:
-    /// One caller's request and the run that serves it.
+    /// A caller's request and the current run for it.
     struct Call
     {
         std::uint64_t id = 0;
         std::shared_ptr<Http::Exchange> exchange;
         typename P::State state;
-        bool callerStarted = false; ///< the head of the answer has gone to the caller
-        std::string lastEventId; ///< of the last event that has gone to the caller
-        std::optional<Http::Response> failure; ///< the last endpoint's whole answer, if it was a failure
+        bool responseStarted = false; ///< whether the head of the response has been sent to the caller
+        std::string lastEventId; ///< id of the last event sent to the caller that had one
+        std::optional<Http::Response> errorResponse; ///< the last endpoint's response, if it was a complete error response
 
-        // The present run.
+        // The current run.
         Run run;
         Http::Client::Id transfer = 0;
-        Base::Instant began {};
+        Base::Instant startedAt {};
         Base::Instant firstTokenAt {};
         Base::Instant lastTokenAt {};
         Base::Duration longestGap {};
@@ -118,12 +122,12 @@
         ResponseHead head;
         ResponseKind kind = ResponseKind::Failed;
         EventSplitter splitter;
-        std::string whole; ///< of an answer that is not a stream, or is to be held
-        bool tooLarge = false;
-        bool done = false; ///< the last event has come
-        bool paused = false;
-        int rejoins = 0;
-        bool toldBegan = false; ///< of the present run
+        std::string body; ///< body of a response that is not a stream, or events of a stream that is to be reported
+        bool bodyTooLarge = false; ///< whether the response exceeded the size limit; the kept body is then incomplete
+        bool lastEventReceived = false; ///< whether the marked last event has been received
+        bool paused = false; ///< whether reading from the endpoint is paused because the caller reads slowly
+        int resumeCount = 0;
+        bool startReported = false; ///< whether RunStarted has been sent for the current run
     };
 
     absl::Status startThread()
@@ -141,7 +145,7 @@
         Http::Client client(loop);
         auto server = Http::Server::listen(
             loop, m_options.listen, m_options.limits,
-            [this](const std::shared_ptr<Http::Exchange> &exchange) { arrived(exchange); }, m_errorBody);
+            [this](const std::shared_ptr<Http::Exchange> &exchange) { requestReceived(exchange); }, m_formatErrorBody);
         if (!server.ok()) {
             started.set_value(server.status());
             return;
@@ -151,30 +155,31 @@
         m_client = &client;
         m_server = server->get();
         m_port = (*server)->address().port;
-        const auto accounting = loop.every(accountingPeriod, [this] { account(); });
+        const auto counterUpdates = loop.every(counterUpdatePeriod, [this] { updateCounters(); });
         started.set_value(absl::OkStatus());
         loop.run();
         m_calls.clear();
     }
 
-    void account()
+    /// Updates the counters, and returns free memory to the system after a peak of open calls.
+    void updateCounters()
     {
         timespec used {};
         clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
         m_counters.processorMicroseconds = used.tv_sec * 1'000'000 + used.tv_nsec / 1'000;
         m_counters.open = m_calls.size();
         m_counters.unsent = m_server->openRequests();
-        m_mostCalls = std::max(m_mostCalls, m_calls.size());
-        if (m_mostCalls > leastCallsToTrim && m_calls.size() < m_mostCalls / 2) {
-            // The allocator keeps what a burst of streams has used unless it is told.
+        m_peakCalls = std::max(m_peakCalls, m_calls.size());
+        if (m_peakCalls > minCallsToTrim && m_calls.size() < m_peakCalls / 2) {
+            // After a burst of streams, the allocator keeps their memory until it is trimmed.
             malloc_trim(0);
-            m_mostCalls = m_calls.size();
+            m_peakCalls = m_calls.size();
         }
     }
 
-    // --- From callers
+    // --- Events from callers
 
-    void arrived(const std::shared_ptr<Http::Exchange> &exchange, bool forwarded = false)
+    void requestReceived(const std::shared_ptr<Http::Exchange> &exchange, bool forwarded = false)
     {
         ++m_counters.calls;
         const Http::Request &request = exchange->request();
@@ -185,10 +190,10 @@
         event.method = request.method;
         event.path = request.path;
         event.forwarded = forwarded;
-        event.work = workOf(request);
+        event.work = hashWork(request);
         m_protocol.describeRequest(request, call->state, event);
         const std::uint64_t id = call->id;
-        exchange->onClosed([this, id] { callerLeft(id); });
+        exchange->onClosed([this, id] { callerDisconnected(id); });
         call->exchange = exchange;
         m_calls.emplace(id, std::move(call));
         m_counters.open = m_calls.size();
@@ -196,13 +201,13 @@
         m_handler(std::move(event));
     }
 
-    static std::uint64_t workOf(const Http::Request &request)
+    static std::uint64_t hashWork(const Http::Request &request)
     {
-        const std::uint64_t where = Base::hash64(request.query, Base::hash64(request.path, Base::hash64(request.method)));
-        return Base::hash64(request.body, where);
+        const std::uint64_t targetHash = Base::hash64(request.query, Base::hash64(request.path, Base::hash64(request.method)));
+        return Base::hash64(request.body, targetHash);
     }
 
-    void callerLeft(std::uint64_t id)
+    void callerDisconnected(std::uint64_t id)
     {
         Call *call = find(id);
         if (call == nullptr) {
@@ -214,16 +219,17 @@
             return;
         }
         if (call->run.reportResponse) {
-            // An operation that must run at most once goes on: its caller may ask for the answer again by its key.
+            // The run of an operation with an idempotency key continues, because its caller may ask for the response again with
+            // the key.
             m_handler(CallerDisconnected {id});
             return;
         }
         if (!call->run.engine) {
-            reportRunStart(*call, call->began);
+            reportRunStart(*call, call->startedAt);
         }
-        // Closing the connection cancels the run at the endpoint.
+        // Closing the connection to the endpoint cancels the run there.
         m_client->cancel(std::exchange(call->transfer, 0));
-        Request::RunReport report = reportOf(*call, Request::RunStage::Sent);
+        Request::RunReport report = makeReport(*call, Request::RunStage::Sent);
         report.callerDisconnected = true;
         m_calls.erase(id);
         m_handler(CallerDisconnected {id});
@@ -238,11 +244,11 @@
 
     // --- Commands
 
-    void carryOut(Run &&run)
+    void execute(Run &&run)
     {
         Call *call = find(run.id.request);
         if (call == nullptr) {
-            // The caller left while the command was on its way; the home must still learn that nothing runs.
+            // The caller disconnected while the command was queued. The home must still be notified that nothing runs.
             Request::RunReport report {.id = run.id, .stage = Request::RunStage::Stale, .callerDisconnected = true};
             m_handler(RunEnded {report, std::nullopt});
             return;
@@ -250,50 +256,50 @@
         resetRun(*call);
         call->run = std::move(run);
         if (Base::now() > call->run.startBy) {
-            reportOver(*call, Request::RunStage::Stale);
+            reportRunEnd(*call, Request::RunStage::Stale);
             return;
         }
         ++m_counters.runs;
-        call->began = Base::now();
+        call->startedAt = Base::now();
         Http::Transfer transfer = m_protocol.buildTransfer(call->state, call->exchange->request(), call->run, call->lastEventId);
         transfer.connectTimeout = m_options.connectTimeout;
-        begin(*call, std::move(transfer));
+        startTransfer(*call, std::move(transfer));
     }
 
-    void carryOut(Respond &&answer)
+    void execute(Respond &&command)
     {
-        Call *call = find(answer.id);
+        Call *call = find(command.id);
         if (call == nullptr) {
             return;
         }
-        if (!call->callerStarted) {
-            const bool endpoints = answer.preferEndpointResponse && call->failure;
-            call->exchange->respond(endpoints ? std::move(*call->failure) : std::move(answer.response));
+        if (!call->responseStarted) {
+            const bool useEndpointResponse = command.preferEndpointResponse && call->errorResponse;
+            call->exchange->respond(useEndpointResponse ? std::move(*call->errorResponse) : std::move(command.response));
         } else if constexpr (P::streamCarriesOutcome) {
-            // The head has gone: an explicit error event in place of a silent cut.
-            call->exchange->write(fmt::format("event: error\ndata: {}\n\n", Base::trimmed(answer.response.body)));
+            // The head of the response has been sent, so the error is reported by an event rather than by a closed connection.
+            call->exchange->write(fmt::format("event: error\ndata: {}\n\n", Base::trimmed(command.response.body)));
             call->exchange->finish();
         } else {
             call->exchange->abort();
         }
-        m_calls.erase(answer.id);
+        m_calls.erase(command.id);
     }
 
-    void carryOut(Stop &&stop)
+    void execute(Stop &&stop)
     {
         if (Call *call = find(stop.id); call != nullptr && call->transfer != 0) {
             m_client->cancel(std::exchange(call->transfer, 0));
         }
     }
 
-    void carryOut(Adopt &&adopt)
+    void execute(Adopt &&adopt)
     {
         const std::uint64_t token = adopt.token;
-        arrived(std::make_shared<AdoptedExchange>(std::move(adopt.request),
-                                                  [this, token](Http::Response response) {
-                                                      m_handler(AdoptedResponse {token, std::move(response)});
-                                                  }),
-                true);
+        requestReceived(std::make_shared<AdoptedExchange>(std::move(adopt.request),
+                                                          [this, token](Http::Response response) {
+                                                              m_handler(AdoptedResponse {token, std::move(response)});
+                                                          }),
+                        true);
     }
 
     // --- Runs
@@ -308,16 +314,16 @@
         call.head = {};
         call.kind = ResponseKind::Failed;
         call.splitter.reset();
-        call.whole.clear();
-        call.tooLarge = false;
-        call.done = false;
+        call.body.clear();
+        call.bodyTooLarge = false;
+        call.lastEventReceived = false;
         call.paused = false;
-        call.rejoins = 0;
-        call.toldBegan = false;
-        call.failure.reset();
+        call.resumeCount = 0;
+        call.startReported = false;
+        call.errorResponse.reset();
     }
 
-    void begin(Call &call, Http::Transfer transfer)
+    void startTransfer(Call &call, Http::Transfer transfer)
     {
         const std::uint64_t id = call.id;
         Http::TransferEvents events;
@@ -325,85 +331,87 @@
             if (Call *found = find(id)) {
                 found->head = {status, headers};
                 found->kind = m_protocol.classifyResponse(found->run, found->head);
-                tellStatement(*found);
+                reportAdvertisement(*found);
             }
         };
         events.onBytes = [this, id](std::string_view bytes) {
             if (Call *found = find(id)) {
-                received(*found, bytes);
+                bytesReceived(*found, bytes);
             }
         };
         events.onEnd = [this, id](const Http::TransferResult &result) {
             if (Call *found = find(id)) {
                 found->transfer = 0;
-                ended(*found, result);
+                transferEnded(*found, result);
             }
         };
         call.transfer = m_client->start(std::move(transfer), std::move(events));
     }
 
-    /// Before any of the answer goes to the caller, so that the home knows at least as much as the caller.
-    void tellStatement(const Call &call)
+    /// Sends EndpointAdvertised if the response advertises something about its endpoint. This happens before any part of the
+    /// response is sent to the caller, so the home always has at least the information that the caller has.
+    void reportAdvertisement(const Call &call)
     {
         if (call.kind == ResponseKind::EndpointReplaced) {
-            // Another endpoint's word.
+            // The advertisement is that of another endpoint.
             return;
         }
-        const Request::EndpointAdvertisement stated = m_protocol.advertisement(call.run, call.head);
-        const bool saysRate = call.run.reportRate || stated.rate.header != Rate::RateHeader::None;
-        const bool saysAvailability = stated.availability.leaves || stated.availability.cooldown > Base::Duration::zero()
-            || stated.availability.unreadable;
-        if (saysRate || saysAvailability) {
-            m_handler(EndpointAdvertised {call.run.id, call.run.endpointNumber, stated});
+        const Request::EndpointAdvertisement advertisement = m_protocol.advertisement(call.run, call.head);
+        const bool reportsRate = call.run.reportRate || advertisement.rate.header != Rate::RateHeader::None;
+        const bool reportsAvailability = advertisement.availability.leaves
+            || advertisement.availability.cooldown > Base::Duration::zero() || advertisement.availability.unreadable;
+        if (reportsRate || reportsAvailability) {
+            m_handler(EndpointAdvertised {call.run.id, call.run.endpointNumber, advertisement});
         }
     }
 
-    void received(Call &call, std::string_view bytes)
+    void bytesReceived(Call &call, std::string_view bytes)
     {
         if (call.kind != ResponseKind::Events) {
-            hold(call, bytes);
+            appendToBody(call, bytes);
             return;
         }
         for (const ServerSentEvent &event : call.splitter.feed(bytes)) {
-            passOn(call, event);
+            forwardEvent(call, event);
         }
-        if (call.splitter.pendingBytes() > largestEvent) {
+        if (call.splitter.pendingBytes() > maxEventBytes) {
             call.splitter.reset();
             m_client->cancel(std::exchange(call.transfer, 0));
-            reportOver(call, Request::RunStage::Sent);
+            reportRunEnd(call, Request::RunStage::Sent);
         }
     }
 
-    void hold(Call &call, std::string_view bytes)
+    /// Appends @p bytes to the kept body, or marks the body as too large.
+    void appendToBody(Call &call, std::string_view bytes)
     {
         const bool fits
-            = call.whole.size() + bytes.size() <= std::max(m_options.maxReportedResponseBytes, m_options.limits.bodyBytes);
-        call.tooLarge = call.tooLarge || !fits;
+            = call.body.size() + bytes.size() <= std::max(m_options.maxReportedResponseBytes, m_options.limits.bodyBytes);
+        call.bodyTooLarge = call.bodyTooLarge || !fits;
         if (fits) {
-            call.whole.append(bytes);
+            call.body.append(bytes);
         }
     }
 
-    void passOn(Call &call, const ServerSentEvent &event)
+    void forwardEvent(Call &call, const ServerSentEvent &event)
     {
-        if (call.done) {
+        if (call.lastEventReceived) {
             return;
         }
         if (event.hasData && !event.isDone && !event.isError) {
-            noteToken(call);
+            recordToken(call);
             reportRunStart(call, call.firstTokenAt);
         }
         if (!event.id.empty()) {
             call.lastEventId = event.id;
         }
-        call.done = P::marksLastEvent && event.isDone;
+        call.lastEventReceived = P::marksLastEvent && event.isDone;
         ++m_counters.events;
-        if (!call.callerStarted) {
-            startCaller(call);
+        if (!call.responseStarted) {
+            startResponseStream(call);
         }
         call.exchange->write(event.bytes);
-        if (call.run.reportResponse && call.whole.size() <= m_options.maxReportedResponseBytes) {
-            call.whole.append(event.bytes);
+        if (call.run.reportResponse && call.body.size() <= m_options.maxReportedResponseBytes) {
+            call.body.append(event.bytes);
         }
         if (!call.paused && call.exchange->buffered() > m_options.streamBufferBytes) {
             call.paused = true;
@@ -411,16 +419,17 @@
         }
     }
 
-    /// Once a run.
+    /// Sends RunStarted, at most once per run.
     void reportRunStart(Call &call, Base::Instant at)
     {
-        if (m_options.reportRunStarts && !call.toldBegan) {
-            call.toldBegan = true;
+        if (m_options.reportRunStarts && !call.startReported) {
+            call.startReported = true;
             m_handler(RunStarted {call.run.organisation, at});
         }
     }
 
-    static void noteToken(Call &call)
+    /// Updates the token count and the longest gap between tokens; every event with data counts as one token.
+    static void recordToken(Call &call)
     {
         const Base::Instant now = Base::now();
         if (call.tokens++ == 0) {
@@ -431,9 +440,10 @@
         call.lastTokenAt = now;
     }
 
-    void startCaller(Call &call)
+    /// Sends the head of the stream to the caller. Reading from the endpoint resumes when the caller has read most of the buffer.
+    void startResponseStream(Call &call)
     {
-        call.callerStarted = true;
+        call.responseStarted = true;
         call.exchange->beginStream(call.head.status, m_protocol.streamHeaders(call.run, call.head));
         const std::uint64_t id = call.id;
         call.exchange->onDrained(m_options.streamBufferBytes / 4, [this, id] {
@@ -445,117 +455,123 @@
         });
     }
 
-    void ended(Call &call, const Http::TransferResult &result)
+    /// Ends the run, or resumes its stream, depending on how far the transfer got and on the kind of response.
+    void transferEnded(Call &call, const Http::TransferResult &result)
     {
-        const bool closedWhole = P::closeEndsBody && result.stage == Http::TransferStage::Closed;
-        const bool whole = (result.stage == Http::TransferStage::Complete || closedWhole) && !call.tooLarge;
-        const bool streamWhole
-            = whole && !P::marksLastEvent && call.kind == ResponseKind::Events && call.splitter.pendingBytes() == 0;
-        if (call.done || streamWhole) {
+        const bool closedComplete = P::closeEndsBody && result.stage == Http::TransferStage::Closed;
+        const bool complete = (result.stage == Http::TransferStage::Complete || closedComplete) && !call.bodyTooLarge;
+        const bool streamComplete
+            = complete && !P::marksLastEvent && call.kind == ResponseKind::Events && call.splitter.pendingBytes() == 0;
+        if (call.lastEventReceived || streamComplete) {
             completeStream(call);
-        } else if (call.kind == ResponseKind::Events || call.rejoins > 0) {
-            brokenStream(call);
+        } else if (call.kind == ResponseKind::Events || call.resumeCount > 0) {
+            resumeOrFail(call);
         } else if (result.stage == Http::TransferStage::NotSent) {
-            reportOver(call, Request::RunStage::NotSent);
-        } else if (whole && call.kind == ResponseKind::Rejected) {
-            reportOver(call, Request::RunStage::Rejected);
-        } else if (whole && call.kind == ResponseKind::EndpointReplaced) {
-            reportOver(call, Request::RunStage::EndpointReplaced);
-        } else if (whole && call.kind == ResponseKind::Body && !call.callerStarted) {
-            completeWhole(call);
+            reportRunEnd(call, Request::RunStage::NotSent);
+        } else if (complete && call.kind == ResponseKind::Rejected) {
+            reportRunEnd(call, Request::RunStage::Rejected);
+        } else if (complete && call.kind == ResponseKind::EndpointReplaced) {
+            reportRunEnd(call, Request::RunStage::EndpointReplaced);
+        } else if (complete && call.kind == ResponseKind::Body && !call.responseStarted) {
+            completeBody(call);
         } else {
-            keepFailure(call, whole);
+            storeErrorResponse(call, complete);
             if (!call.run.engine || call.head.status != 0) {
-                // A service may have run it, as it may have where it answers an error.
-                reportRunStart(call, call.began);
+                // A service may have run the request even if it sent no response. Any endpoint may have run it if it sent an
+                // error.
+                reportRunStart(call, call.startedAt);
             }
-            reportOver(call, Request::RunStage::Sent);
+            reportRunEnd(call, Request::RunStage::Sent);
         }
     }
 
-    /// Goes on with the stream at the same endpoint where the protocol has a request for that.
-    void brokenStream(Call &call)
+    /// Resumes an interrupted stream at the same endpoint if the protocol supports it; otherwise reports the end of the run.
+    void resumeOrFail(Call &call)
     {
-        const bool midStream = call.callerStarted && !call.lastEventId.empty();
-        if (midStream && call.rejoins < mostRejoins) {
+        const bool midStream = call.responseStarted && !call.lastEventId.empty();
+        if (midStream && call.resumeCount < maxResumes) {
             if (auto transfer = m_protocol.buildResumeTransfer(call.run, call.lastEventId)) {
-                ++call.rejoins;
+                ++call.resumeCount;
                 ++m_counters.resumes;
-                // Bytes of an event that was cut off come again whole.
+                // An event that was cut off is sent again completely.
                 call.splitter.reset();
                 call.paused = false;
                 transfer->connectTimeout = m_options.connectTimeout;
-                begin(call, std::move(*transfer));
+                startTransfer(call, std::move(*transfer));
                 return;
             }
         }
-        reportOver(call, Request::RunStage::Sent);
+        reportRunEnd(call, Request::RunStage::Sent);
     }
 
-    void keepFailure(Call &call, bool whole)
+    /// Keeps a complete error response, for Respond::preferEndpointResponse.
+    void storeErrorResponse(Call &call, bool complete)
     {
-        if (whole && !call.callerStarted && call.head.status >= 400) {
-            call.failure = Http::Response {call.head.status, m_protocol.bodyHeaders(call.run, call.head), std::move(call.whole)};
+        if (complete && !call.responseStarted && call.head.status >= 400) {
+            call.errorResponse
+                = Http::Response {call.head.status, m_protocol.bodyHeaders(call.run, call.head), std::move(call.body)};
         }
     }
 
     void completeStream(Call &call)
     {
-        if (!call.callerStarted) {
-            startCaller(call);
+        if (!call.responseStarted) {
+            startResponseStream(call);
         }
-        RunEnded over {reportOf(call, Request::RunStage::ResponseComplete), std::nullopt};
-        if (call.run.reportResponse && call.whole.size() <= m_options.maxReportedResponseBytes) {
-            over.response = Http::Response {
-                call.head.status, {{"content-type", std::string(Http::eventStreamType)}}, std::move(call.whole)};
+        RunEnded runEnded {makeReport(call, Request::RunStage::ResponseComplete), std::nullopt};
+        if (call.run.reportResponse && call.body.size() <= m_options.maxReportedResponseBytes) {
+            runEnded.response
+                = Http::Response {call.head.status, {{"content-type", std::string(Http::eventStreamType)}}, std::move(call.body)};
         }
         if constexpr (P::streamCarriesOutcome) {
             call.exchange->setTrailer(
                 {"yokepond-outcome", std::string(Base::nameOf(Request::outcomeNames, Request::Outcome::Completed))});
         }
         call.exchange->finish();
-        conclude(call, std::move(over));
+        finishCall(call, std::move(runEnded));
     }
 
-    void completeWhole(Call &call)
+    void completeBody(Call &call)
     {
-        reportRunStart(call, call.began);
+        reportRunStart(call, call.startedAt);
         if (call.tokens == 0) {
             call.tokens = 1;
             call.firstTokenAt = Base::now();
             call.lastTokenAt = call.firstTokenAt;
         }
-        RunEnded over {reportOf(call, Request::RunStage::ResponseComplete), std::nullopt};
-        Http::Response response {call.head.status, m_protocol.bodyHeaders(call.run, call.head), std::move(call.whole)};
+        RunEnded runEnded {makeReport(call, Request::RunStage::ResponseComplete), std::nullopt};
+        Http::Response response {call.head.status, m_protocol.bodyHeaders(call.run, call.head), std::move(call.body)};
         if (call.run.reportResponse && response.body.size() <= m_options.maxReportedResponseBytes) {
-            over.response = response;
+            runEnded.response = response;
         }
         call.exchange->respond(std::move(response));
-        conclude(call, std::move(over));
+        finishCall(call, std::move(runEnded));
     }
 
-    void conclude(Call &call, RunEnded over)
+    /// Removes the call and reports the end of its run.
+    void finishCall(Call &call, RunEnded runEnded)
     {
         m_calls.erase(call.id);
-        m_handler(std::move(over));
+        m_handler(std::move(runEnded));
     }
 
-    void reportOver(Call &call, Request::RunStage stage)
+    /// Reports the end of a run whose call continues, so another run may follow.
+    void reportRunEnd(Call &call, Request::RunStage stage)
     {
-        m_handler(RunEnded {reportOf(call, stage), std::nullopt});
+        m_handler(RunEnded {makeReport(call, stage), std::nullopt});
     }
 
-    static Request::RunReport reportOf(const Call &call, Request::RunStage stage)
+    static Request::RunReport makeReport(const Call &call, Request::RunStage stage)
     {
         Request::RunReport report;
         report.id = call.run.id;
         report.stage = stage;
-        report.callerSawBytes = call.callerStarted;
+        report.callerSawBytes = call.responseStarted;
         report.tokens = call.tokens;
         report.status = call.head.status;
         report.longestGap = call.longestGap;
         if (call.tokens > 0) {
-            report.firstToken = call.firstTokenAt - call.began;
+            report.firstToken = call.firstTokenAt - call.startedAt;
         }
         if (call.tokens > 1) {
             report.gap = (call.lastTokenAt - call.firstTokenAt) / (call.tokens - 1);
@@ -566,7 +582,7 @@
     RelayOptions m_options;
     P m_protocol;
     Handler m_handler;
-    ErrorBody m_errorBody;
+    ErrorBodyFormatter m_formatErrorBody;
     std::thread m_thread;
     Base::Loop *m_loop = nullptr;
     Base::Mailbox<std::function<void()>> *m_mailbox = nullptr;
@@ -575,7 +591,7 @@
     std::atomic<std::uint16_t> m_port = 0;
     RelayCounters m_counters;
     std::uint64_t m_nextId = 1;
-    std::size_t m_mostCalls = 0; ///< since memory was given back
+    std::size_t m_peakCalls = 0; ///< largest number of open calls since free memory was last returned to the system
     std::unordered_map<std::uint64_t, std::unique_ptr<Call>> m_calls;
 };
 
--- a/Tests/Relay/eventsplittertest.cpp
+++ b/Tests/Relay/eventsplittertest.cpp
@@ -12,7 +12,7 @@
     EventSplitter splitter;
 };
 
-TEST(EventSplitter, anyCutOfTheBytesGivesTheSameEvents)
+TEST(EventSplitter, eventsDoNotDependOnWhereTheBytesAreSplit)
 {
     const std::string text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nevent: error\ndata: c\n\ndata: [DONE]\n\n";
     for (std::size_t cut = 0; cut <= text.size(); ++cut) {
@@ -34,7 +34,7 @@
     }
 }
 
-TEST(EventSplitter, resetForgetsACutOffEvent)
+TEST(EventSplitter, resetDiscardsAnIncompleteEvent)
 {
     CHECK_EQUAL(0U, splitter.feed("id: 3\ndata: ha").size());
     splitter.reset();
--- a/Tests/Relay/prompttest.cpp
+++ b/Tests/Relay/prompttest.cpp
@@ -13,7 +13,7 @@
 
 TEST_GROUP(Prompt) {};
 
-TEST(Prompt, wrongBodiesAreInvalidRequests)
+TEST(Prompt, invalidBodiesAreRejected)
 {
     for (const std::string_view body :
          {"", "[]", "{", "{}", R"({"messages":[]})", R"({"messages":[1]})", R"({"messages":[{"role":"user"}]})",
@@ -23,7 +23,7 @@
     }
 }
 
-TEST(Prompt, sameBeginningGivesSamePrefix)
+TEST(Prompt, promptsWithACommonPrefixShareItsHashes)
 {
     const std::string common(2000, 'x');
     const auto first = parsePrompt(fmt::format(R"({{"prompt":"{}first"}})", common), false);
@@ -32,7 +32,7 @@
     CHECK_TRUE(first->prefix == second->prefix);
 }
 
-TEST(Prompt, partsOfAMessageCount)
+TEST(Prompt, textPartsOfAMessageAreCounted)
 {
     const auto prompt
         = parsePrompt(R"({"messages":[{"role":"user","content":[{"type":"text","text":"hello there"}]}],"stream":true})", true);
