--- a/Source/Http/client.cpp
+++ b/Source/Http/client.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr int eventsPerCall = 256;
-constexpr long receiveBufferBytes = 4096; ///< held for each transfer
+constexpr long receiveBufferBytes = 4096; ///< allocated for each transfer
 
 struct HeaderListDeleter
 {
@@ -38,13 +38,13 @@
     }
 };
 
-/// One transfer under way; its address is libcurl's private pointer.
-struct Running
+/// A transfer in progress. libcurl keeps its address as the private pointer of the handle.
+struct ActiveTransfer
 {
     Client::Id id = 0;
     Transfer transfer;
     TransferEvents events;
-    Headers answerHeaders;
+    Headers responseHeaders;
     int status = 0;
     bool headersReported = false;
     bool cancelled = false;
@@ -52,29 +52,29 @@
     std::unique_ptr<CURL, EasyDeleter> handle;
 };
 
-void reportHeaders(Running &running)
+void reportHeaders(ActiveTransfer &running)
 {
     if (running.headersReported || running.status == 0) {
         return;
     }
     running.headersReported = true;
     if (running.events.onHeaders) {
-        running.events.onHeaders(running.status, running.answerHeaders);
+        running.events.onHeaders(running.status, running.responseHeaders);
     }
 }
 
 std::size_t onHeaderLine(char *data, std::size_t, std::size_t size, void *user)
 {
-    auto &running = *static_cast<Running *>(user);
+    auto &running = *static_cast<ActiveTransfer *>(user);
     const std::string_view line = Base::trimmed(std::string_view(data, size));
     if (line.starts_with("HTTP/")) {
-        // An interim answer (100) is followed by the real one.
-        running.answerHeaders.clear();
+        // An interim response (100) is followed by the final one.
+        running.responseHeaders.clear();
         long code = 0;
         curl_easy_getinfo(running.handle.get(), CURLINFO_RESPONSE_CODE, &code);
         running.status = static_cast<int>(code);
     } else if (const std::size_t colon = line.find(':'); colon != std::string_view::npos) {
-        running.answerHeaders.push_back(
+        running.responseHeaders.push_back(
             {Base::lowerCase(line.substr(0, colon)), std::string(Base::trimmed(line.substr(colon + 1)))});
     } else if (line.empty() && running.status >= 200 && !running.cancelled) {
         reportHeaders(running);
@@ -84,14 +84,14 @@
 
 std::size_t onBody(char *data, std::size_t, std::size_t size, void *user)
 {
-    auto &running = *static_cast<Running *>(user);
+    auto &running = *static_cast<ActiveTransfer *>(user);
     if (!running.cancelled && running.events.onBytes) {
         running.events.onBytes({data, size});
     }
     return size;
 }
 
-int resetWhenClosed(void *, curl_socket_t socket, curlsocktype)
+int enableResetOnClose(void *, curl_socket_t socket, curlsocktype)
 {
     const linger noLinger {1, 0};
     return setsockopt(socket, SOL_SOCKET, SO_LINGER, &noLinger, sizeof noLinger) == 0 ? CURL_SOCKOPT_OK : CURL_SOCKOPT_ERROR;
@@ -111,20 +111,20 @@
     }
 }
 
-/// libcurl takes a connection that closes for the end of the answer where nothing else tells its length, and even where the
-/// head was cut; neither shows that the answer is whole.
-TransferStage endedStage(const Running &running)
+/// Returns the stage of a transfer that libcurl reports as successful. libcurl accepts a closed connection as the end of a
+/// response without a declared length, and even of an incomplete head. Neither shows that the response is complete.
+TransferStage successStage(const ActiveTransfer &running)
 {
     constexpr int noContent = 204;
     const bool lengthKnown
-        = headerValue(running.answerHeaders, "content-length") || headerValue(running.answerHeaders, "transfer-encoding");
+        = headerValue(running.responseHeaders, "content-length") || headerValue(running.responseHeaders, "transfer-encoding");
     if (!running.headersReported) {
         return TransferStage::ResponseStarted;
     }
     return lengthKnown || running.status == noContent ? TransferStage::Complete : TransferStage::Closed;
 }
 
-TransferResult resultOf(const Running &running, CURLcode code)
+TransferResult resultOf(const ActiveTransfer &running, CURLcode code)
 {
     long requestBytes = 0;
     curl_easy_getinfo(running.handle.get(), CURLINFO_REQUEST_SIZE, &requestBytes);
@@ -133,7 +133,7 @@
     result.status = running.status;
     result.detail = curl_easy_strerror(code);
     if (code == CURLE_OK && running.status != 0) {
-        result.stage = endedStage(running);
+        result.stage = successStage(running);
     } else if (running.status != 0) {
         result.stage = TransferStage::ResponseStarted;
     } else {
@@ -147,7 +147,7 @@
 class Client::Implementation
 {
 public:
-    Implementation(Base::Loop &loop, std::size_t keptConnections)
+    Implementation(Base::Loop &loop, std::size_t maxIdleConnections)
         : m_loop(loop)
         , m_multi(curl_multi_init())
         , m_poll(epoll_create1(EPOLL_CLOEXEC))
@@ -156,7 +156,7 @@
         curl_multi_setopt(m_multi, CURLMOPT_SOCKETDATA, this);
         curl_multi_setopt(m_multi, CURLMOPT_TIMERFUNCTION, &Implementation::onTimer);
         curl_multi_setopt(m_multi, CURLMOPT_TIMERDATA, this);
-        curl_multi_setopt(m_multi, CURLMOPT_MAXCONNECTS, static_cast<long>(keptConnections));
+        curl_multi_setopt(m_multi, CURLMOPT_MAXCONNECTS, static_cast<long>(maxIdleConnections));
         curl_multi_setopt(m_multi, CURLMOPT_PIPELINING, CURLPIPE_NOTHING);
         m_readable = m_loop.whenReadable(m_poll, [this] { readSockets(); });
     }
@@ -179,7 +179,7 @@
 
     Id start(Transfer transfer, TransferEvents events)
     {
-        auto running = std::make_unique<Running>();
+        auto running = std::make_unique<ActiveTransfer>();
         running->id = m_nextId++;
         running->transfer = std::move(transfer);
         running->events = std::move(events);
@@ -200,7 +200,7 @@
         }
         entry->second->cancelled = true;
         if (m_inLibrary) {
-            // The library may be inside this transfer's callback; it is taken out after the call has returned.
+            // libcurl may be in a callback of this transfer, so the transfer is removed after the call has returned.
             m_cancelled.push_back(id);
             return;
         }
@@ -213,7 +213,7 @@
         if (entry == m_running.end()) {
             return;
         }
-        // Going on may report held bytes from inside the call.
+        // When a transfer continues, curl_easy_pause may call onBody for bytes that libcurl has buffered.
         callLibrary([&] { curl_easy_pause(entry->second->handle.get(), paused ? CURLPAUSE_RECV : CURLPAUSE_CONT); });
     }
 
@@ -223,15 +223,15 @@
     }
 
 private:
-    void configure(Running &running)
+    void configure(ActiveTransfer &running)
     {
         CURL *handle = running.handle.get();
         const Transfer &transfer = running.transfer;
-        // A name alone keeps the library from adding a header of its own.
+        // A name without a value keeps libcurl from adding its own header of this name.
         curl_slist *list = curl_slist_append(nullptr, "Expect:");
         for (const std::string_view name : {"accept", "content-type"}) {
-            const auto same = [&](const Header &header) { return Base::lowerCase(header.name) == name; };
-            if (std::ranges::none_of(transfer.headers, same)) {
+            const auto hasName = [&](const Header &header) { return Base::lowerCase(header.name) == name; };
+            if (std::ranges::none_of(transfer.headers, hasName)) {
                 list = curl_slist_append(list, fmt::format("{}:", name).c_str());
             }
         }
@@ -265,7 +265,7 @@
         curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, transfer.freshConnection ? 1L : 0L);
         curl_easy_setopt(handle, CURLOPT_FORBID_REUSE, transfer.freshConnection ? 1L : 0L);
         if (transfer.resetOnClose) {
-            curl_easy_setopt(handle, CURLOPT_SOCKOPTFUNCTION, &resetWhenClosed);
+            curl_easy_setopt(handle, CURLOPT_SOCKOPTFUNCTION, &enableResetOnClose);
         }
         curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, &onHeaderLine);
         curl_easy_setopt(handle, CURLOPT_HEADERDATA, &running);
@@ -273,7 +273,7 @@
         curl_easy_setopt(handle, CURLOPT_WRITEDATA, &running);
     }
 
-    static int onSocket(CURL *, curl_socket_t socket, int what, void *self, void *known)
+    static int onSocket(CURL *, curl_socket_t socket, int what, void *self, void *socketData)
     {
         auto &client = *static_cast<Implementation *>(self);
         if (what == CURL_POLL_REMOVE) {
@@ -283,7 +283,7 @@
         epoll_event event {};
         event.events = ((what & CURL_POLL_IN) != 0 ? EPOLLIN : 0U) | ((what & CURL_POLL_OUT) != 0 ? EPOLLOUT : 0U);
         event.data.fd = socket;
-        epoll_ctl(client.m_poll, known == nullptr ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, socket, &event);
+        epoll_ctl(client.m_poll, socketData == nullptr ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, socket, &event);
         curl_multi_assign(client.m_multi, socket, &client);
         return 0;
     }
@@ -293,8 +293,8 @@
         auto &client = *static_cast<Implementation *>(self);
         client.m_timer.reset();
         if (delayMs >= 0) {
-            client.m_timer
-                = client.m_loop.after(std::chrono::milliseconds(delayMs), [&client] { client.act(CURL_SOCKET_TIMEOUT, 0); });
+            client.m_timer = client.m_loop.after(std::chrono::milliseconds(delayMs),
+                                                 [&client] { client.processSocket(CURL_SOCKET_TIMEOUT, 0); });
         }
         return 0;
     }
@@ -308,18 +308,19 @@
             const int mask = ((event.events & EPOLLIN) != 0 ? CURL_CSELECT_IN : 0)
                 | ((event.events & EPOLLOUT) != 0 ? CURL_CSELECT_OUT : 0)
                 | ((event.events & (EPOLLERR | EPOLLHUP)) != 0 ? CURL_CSELECT_ERR : 0);
-            act(event.data.fd, mask);
+            processSocket(event.data.fd, mask);
         }
     }
 
-    void act(curl_socket_t socket, int mask)
+    void processSocket(curl_socket_t socket, int mask)
     {
         int stillRunning = 0;
         callLibrary([&] { curl_multi_socket_action(m_multi, socket, mask, &stillRunning); });
-        reportEnded();
+        reportFinished();
     }
 
-    /// Makes a call that may report events; transfers cancelled by their handlers are taken out afterwards.
+    /// Makes a call to libcurl that may call the callbacks of transfers. Transfers that the callbacks cancel are removed
+    /// afterwards.
     template<typename Call>
     void callLibrary(Call call)
     {
@@ -334,7 +335,7 @@
         }
     }
 
-    void reportEnded()
+    void reportFinished()
     {
         int left = 0;
         while (const CURLMsg *message = curl_multi_info_read(m_multi, &left)) {
@@ -342,16 +343,16 @@
                 continue;
             }
             const CURLcode code = message->data.result;
-            Running *running = nullptr;
+            ActiveTransfer *running = nullptr;
             curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &running);
-            const auto ended = remove(running->id);
-            if (ended != nullptr && !ended->cancelled && ended->events.onEnd) {
-                ended->events.onEnd(resultOf(*ended, code));
+            const auto finished = remove(running->id);
+            if (finished != nullptr && !finished->cancelled && finished->events.onEnd) {
+                finished->events.onEnd(resultOf(*finished, code));
             }
         }
     }
 
-    std::unique_ptr<Running> remove(Id id)
+    std::unique_ptr<ActiveTransfer> remove(Id id)
     {
         const auto entry = m_running.find(id);
         if (entry == m_running.end()) {
@@ -368,14 +369,14 @@
     int m_poll;
     bool m_inLibrary = false;
     Id m_nextId = 1;
-    std::unordered_map<Id, std::unique_ptr<Running>> m_running;
+    std::unordered_map<Id, std::unique_ptr<ActiveTransfer>> m_running;
     std::vector<Id> m_cancelled;
     std::unique_ptr<Base::Loop::Registration> m_timer;
     std::unique_ptr<Base::Loop::Registration> m_readable;
 };
 
-Client::Client(Base::Loop &loop, std::size_t keptConnections)
-    : m_implementation(std::make_unique<Implementation>(loop, keptConnections))
+Client::Client(Base::Loop &loop, std::size_t maxIdleConnections)
+    : m_implementation(std::make_unique<Implementation>(loop, maxIdleConnections))
 {
 }
 
--- a/Source/Http/client.h
+++ b/Source/Http/client.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// An HTTP client on libcurl's multi interface, run by a Base::Loop: no thread of its own, no blocking call.
+/// An HTTP client based on libcurl's multi interface. It runs on a Base::Loop, without its own thread and without blocking calls.
 
 #pragma once
 
@@ -17,42 +17,47 @@
 
 namespace Yokepond::Http {
 
-/// How far a transfer came; decides whether the other side can have seen any of the request.
+/// How far a transfer got. It tells whether the server may have received any of the request.
 enum class TransferStage {
-    NotSent, ///< no byte of the request was handed to a connection
-    Sent, ///< some of the request was, and no status line has come back
-    ResponseStarted, ///< a status line has come back, the body has not ended
-    Closed, ///< the whole head has come, and the connection was closed in order where nothing else tells the body's length
-    Complete, ///< the whole answer has come
+    NotSent, ///< no byte of the request was passed to a connection
+    Sent, ///< at least part of the request was passed to a connection, and no status line was received
+    ResponseStarted, ///< a status line was received, but not the complete response
+    Closed, ///< the head was received, the body has no declared length, and the server closed the connection cleanly
+    Complete, ///< the complete response was received
 };
 
+/// Why a transfer failed.
 enum class TransferFailure { None, Connect, Timeout, Broken, Cancelled };
 
+/// The result of a transfer that has ended.
 struct TransferResult
 {
     TransferStage stage = TransferStage::NotSent;
     TransferFailure failure = TransferFailure::None;
-    int status = 0; ///< 0 before a status line
-    std::string detail; ///< the library's words, for logs
+    int status = 0; ///< status code, 0 if no status line was received
+    std::string detail; ///< libcurl's message, for logs
 };
 
+/// A request to send, and how to send it.
 struct Transfer
 {
     std::string method = "GET";
     std::string url;
-    std::string target; ///< of the request line, as it is to stand there; empty: that of the URL
-    Headers headers; ///< sent as they are; the library adds none but Host and Content-Length
+    std::string target; ///< request target, sent unchanged in the request line; if empty, the target of the URL
+    Headers headers; ///< sent unchanged; the client adds only Host and Content-Length
     std::string body;
     Base::Duration connectTimeout = std::chrono::seconds(1);
-    Base::Duration totalTimeout = Base::Duration::zero(); ///< zero: none
-    /// Use a connection that carried nothing before. libcurl sends a request again by itself if a kept connection turns out
-    /// closed, so a request that may run at most once must never go over one.
+    Base::Duration totalTimeout = Base::Duration::zero(); ///< limit for the whole transfer; zero means no limit
+    /// Whether to use a new connection. libcurl repeats a request on its own if a reused connection turns out to be closed, so
+    /// a request that may run at most once must never be sent on a reused one.
     bool freshConnection = false;
-    /// Close the connection by a reset: bytes that the other side has not got yet are dropped rather than sent later.
+    /// Whether to close the connection with a TCP reset. Bytes that have not been delivered are then dropped instead of being
+    /// sent later.
     bool resetOnClose = false;
 };
 
-/// What a transfer reports, all on the loop's thread. onEnd is called exactly once, and last, unless the transfer is cancelled.
+/// Callbacks of a transfer, called on the loop's thread. onEnd is called exactly once, as the last one, unless the transfer is
+/// cancelled.
 struct TransferEvents
 {
     std::function<void(int status, const Headers &headers)> onHeaders;
@@ -60,27 +65,28 @@
     std::function<void(const TransferResult &result)> onEnd;
 };
 
+/// Sends HTTP requests.
 class Client
 {
 public:
     using Id = std::uint64_t;
 
-    /// At most @p keptConnections idle connections are kept for reuse.
-    explicit Client(Base::Loop &loop, std::size_t keptConnections = 64);
+    /// Creates a client that keeps at most @p maxIdleConnections idle connections for reuse.
+    explicit Client(Base::Loop &loop, std::size_t maxIdleConnections = 64);
     ~Client();
     Client(const Client &) = delete;
     Client &operator=(const Client &) = delete;
 
-    /// Begins @p transfer; no event is reported before this returns.
+    /// Starts @p transfer. No callback is called before this function returns.
     Id start(Transfer transfer, TransferEvents events);
 
-    /// Ends a transfer and closes its connection; nothing more is reported.
+    /// Cancels a transfer and closes its connection. None of its callbacks is called afterwards.
     void cancel(Id id);
 
-    /// Stops reading from the transfer's connection, so that the sender is held back, or reads on.
+    /// Pauses or continues reading from the transfer's connection. While it is paused, TCP flow control stops the sender.
     void pause(Id id, bool paused);
 
-    /// Transfers under way.
+    /// Returns the number of transfers in progress.
     std::size_t active() const;
 
 private:
@@ -88,7 +94,7 @@
     std::unique_ptr<Implementation> m_implementation;
 };
 
-/// Fetches a whole answer: @p done gets the result and the body.
+/// Fetches a complete response and passes the result and the body to @p done.
 Client::Id fetch(Client &client, Transfer transfer, std::function<void(const TransferResult &result, std::string body)> done);
 
 } // namespace Yokepond::Http
--- a/Source/Http/message.h
+++ b/Source/Http/message.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// HTTP messages as the server and the client of this folder hand them over.
+/// The HTTP messages that the server and the client pass to their users.
 
 #pragma once
 
@@ -22,25 +22,25 @@
 
 using Headers = std::vector<Header>;
 
-/// The value of the first header called @p name (lower case), or nothing.
+/// Returns the value of the first header called @p name (lower case), or nothing.
 inline std::optional<std::string_view> headerValue(const Headers &headers, std::string_view name)
 {
     const auto header = std::ranges::find(headers, name, &Header::name);
     return header == headers.end() ? std::nullopt : std::optional<std::string_view>(header->value);
 }
 
-/// A request whose header and body have been received whole.
+/// A request that has been received completely.
 struct Request
 {
     std::string method;
     std::string path; ///< without the query part
-    std::string query; ///< the text behind '?', as sent
-    std::string target; ///< path and query as they stood in the request line, nothing decoded
+    std::string query; ///< the text after '?', without the '?'; percent-encoded
+    std::string target; ///< path and query exactly as in the request line, not decoded
     Headers headers;
     std::string body;
 };
 
-/// An answer that is known whole.
+/// A complete response.
 struct Response
 {
     int status = 200;
--- a/Source/Http/server.cpp
+++ b/Source/Http/server.cpp
@@ -22,23 +22,24 @@
 
 namespace {
 
-constexpr std::size_t streamBlockBytes = 4U << 10U; ///< held for each stream
+constexpr std::size_t streamBlockBytes = 4U << 10U; ///< allocated for each stream
 constexpr Base::Duration sweepPeriod = std::chrono::seconds(1);
 constexpr int watchedEventsPerCall = 64;
-constexpr int mostRunsPerTurn = 4;
+/// Runs of libmicrohttpd in one turn of the loop. If it still has buffered input, it runs again in the next turn.
+constexpr int maxRunsPerTurn = 4;
 
-class LibraryServer;
+class MhdServer;
 
-/// What libmicrohttpd's connection pointer holds.
-class LibraryExchange : public Exchange, public std::enable_shared_from_this<LibraryExchange>
+/// An exchange on a libmicrohttpd connection. libmicrohttpd keeps its address as the state of the request.
+class MhdExchange : public Exchange, public std::enable_shared_from_this<MhdExchange>
 {
 public:
-    enum class State { Receiving, Waiting, Answered, Streaming, Ended };
+    enum class State { Receiving, Waiting, ResponseSet, Streaming, Ended };
 
-    LibraryExchange(LibraryServer &server, MHD_Connection *connection)
+    MhdExchange(MhdServer &server, MHD_Connection *connection)
         : m_server(server)
         , m_connection(connection)
-        , m_began(Base::now())
+        , m_startedAt(Base::now())
     {
         const auto *info = MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD);
         m_descriptor = info->connect_fd;
@@ -58,7 +59,7 @@
 
     std::size_t buffered() const override
     {
-        return m_buffer.size() - m_taken;
+        return m_buffer.size() - m_readOffset;
     }
 
     void onDrained(std::size_t lowMark, Task task) override
@@ -72,27 +73,27 @@
         m_closed = std::move(task);
     }
 
-    // For the server only.
-    MHD_Result queueAnswer();
-    ssize_t takeBytes(char *target, std::size_t room);
-    void callerGone();
-    void libraryDone();
+    // The members below are for MhdServer only.
+    MHD_Result queueResponse();
+    ssize_t readBytes(char *target, std::size_t room);
+    void callerDisconnected();
+    void requestCompleted();
     void suspend();
     void resume();
 
-    LibraryServer &m_server;
+    MhdServer &m_server;
     MHD_Connection *m_connection;
     int m_descriptor = -1;
-    Base::Instant m_began;
+    Base::Instant m_startedAt;
     State m_state = State::Receiving;
     Request m_request;
 
 private:
     Response m_response;
-    MHD_Response *m_queued = nullptr;
+    MHD_Response *m_queuedResponse = nullptr;
     std::optional<Header> m_trailer;
     std::string m_buffer;
-    std::size_t m_taken = 0;
+    std::size_t m_readOffset = 0;
     std::size_t m_lowMark = 0;
     bool m_overLowMark = false;
     bool m_finished = false;
@@ -102,20 +103,21 @@
     Task m_closed;
 };
 
-class LibraryServer : public Server
+/// Implements the server with libmicrohttpd.
+class MhdServer : public Server
 {
 public:
-    LibraryServer(Base::Loop &loop, const ServerLimits &limits, Handler handler, ErrorBody errorBody)
+    MhdServer(Base::Loop &loop, const ServerLimits &limits, Handler handler, ErrorBodyFormatter formatErrorBody)
         : m_loop(loop)
         , m_limits(limits)
         , m_handler(std::move(handler))
-        , m_errorBody(std::move(errorBody))
+        , m_formatErrorBody(std::move(formatErrorBody))
     {
     }
 
-    LibraryServer(const LibraryServer &) = delete;
-    LibraryServer &operator=(const LibraryServer &) = delete;
-    ~LibraryServer() override;
+    MhdServer(const MhdServer &) = delete;
+    MhdServer &operator=(const MhdServer &) = delete;
+    ~MhdServer() override;
 
     absl::Status start(const Base::Address &address);
 
@@ -140,54 +142,58 @@
 
     void closeAfterResponses() override
     {
-        m_closing = true;
+        m_closeAfterResponses = true;
     }
 
     std::size_t openRequests() const override
     {
-        return m_open.size();
+        return m_openExchanges.size();
     }
 
-    bool isClosing() const
+    bool closesAfterResponses() const
     {
-        return m_closing;
+        return m_closeAfterResponses;
     }
 
-    /// Runs the library at the next turn of the loop: without a thread of its own it is not woken by a resumed connection.
-    void runSoon();
-    void watch(const std::shared_ptr<LibraryExchange> &exchange);
-    void unwatch(LibraryExchange &exchange);
+    /// Schedules a run of libmicrohttpd for the next turn of the loop. It has no thread of its own, so nothing else makes it
+    /// handle a resumed connection.
+    void scheduleRun();
+    /// Starts watching whether the caller closes its connection.
+    void watch(const std::shared_ptr<MhdExchange> &exchange);
+    void unwatch(MhdExchange &exchange);
 
 private:
     static MHD_Result access(void *self, MHD_Connection *connection, const char *url, const char *method, const char *version,
                              const char *data, std::size_t *size, void **state);
     static void completed(void *self, MHD_Connection *connection, void **state, MHD_RequestTerminationCode code);
-    static void *keepTarget(void *self, const char *target, MHD_Connection *connection);
+    static void *storeTarget(void *self, const char *target, MHD_Connection *connection);
     static MHD_Result storeHeader(void *exchange, MHD_ValueKind kind, const char *name, const char *value);
     static MHD_Result storeArgument(void *exchange, MHD_ValueKind kind, const char *name, const char *value);
 
-    MHD_Result begin(MHD_Connection *connection, const char *method, const char *url, void **state);
-    MHD_Result receive(const std::shared_ptr<LibraryExchange> &exchange, const char *data, std::size_t *size);
-    MHD_Result refuse(LibraryExchange &exchange, const absl::Status &error);
-    void refuseRaw(LibraryExchange &exchange, const absl::Status &error);
+    MHD_Result beginRequest(MHD_Connection *connection, const char *method, const char *url, void **state);
+    MHD_Result receive(const std::shared_ptr<MhdExchange> &exchange, const char *data, std::size_t *size);
+    MHD_Result reject(MhdExchange &exchange, const absl::Status &error);
+    /// Writes the error response to the socket and closes the connection.
+    void rejectOnSocket(MhdExchange &exchange, const absl::Status &error);
     void run();
     void readWatched();
+    /// Rejects the requests that exceed the receive timeout, and runs libmicrohttpd for its idle timeouts.
     void sweep();
 
     Base::Loop &m_loop;
     ServerLimits m_limits;
     Handler m_handler;
-    ErrorBody m_errorBody;
+    ErrorBodyFormatter m_formatErrorBody;
     Base::Address m_address;
     MHD_Daemon *m_daemon = nullptr;
-    bool m_closing = false;
-    std::map<MHD_Connection *, std::string> m_targets; ///< of requests whose head has not come whole
+    bool m_closeAfterResponses = false;
+    std::map<MHD_Connection *, std::string> m_targets; ///< request targets of requests whose head is incomplete
     int m_watchDescriptor = -1;
-    std::map<LibraryExchange *, std::shared_ptr<LibraryExchange>> m_open;
-    std::map<int, std::weak_ptr<LibraryExchange>> m_watched;
+    std::map<MhdExchange *, std::shared_ptr<MhdExchange>> m_openExchanges;
+    std::map<int, std::weak_ptr<MhdExchange>> m_watched;
     std::unique_ptr<Base::Loop::Registration> m_readable;
     std::unique_ptr<Base::Loop::Registration> m_watchReadable;
-    std::unique_ptr<Base::Loop::Registration> m_soon;
+    std::unique_ptr<Base::Loop::Registration> m_scheduledRun;
     std::unique_ptr<Base::Loop::Registration> m_timer;
 };
 
@@ -198,8 +204,8 @@
         httpStatus(Base::errorKind(error)), errorName(Base::errorKind(error)), jsonType, body.size(), body);
 }
 
-/// @p text with every character that is not unreserved in a URL percent-encoded.
-std::string escaped(const char *text)
+/// Returns @p text with all characters percent-encoded except the unreserved characters of a URL.
+std::string percentEncoded(const char *text)
 {
     char *encoded = curl_easy_escape(nullptr, text, 0);
     std::string result(encoded);
@@ -216,12 +222,12 @@
 
 ssize_t readStream(void *exchange, std::uint64_t, char *target, std::size_t room)
 {
-    return static_cast<LibraryExchange *>(exchange)->takeBytes(target, room);
+    return static_cast<MhdExchange *>(exchange)->readBytes(target, room);
 }
 
 // --- LibraryExchange
 
-void LibraryExchange::suspend()
+void MhdExchange::suspend()
 {
     if (!m_suspended && m_connection != nullptr) {
         MHD_suspend_connection(m_connection);
@@ -229,27 +235,27 @@
     }
 }
 
-void LibraryExchange::resume()
+void MhdExchange::resume()
 {
     if (m_suspended && m_connection != nullptr) {
         m_suspended = false;
         MHD_resume_connection(m_connection);
-        m_server.runSoon();
+        m_server.scheduleRun();
     }
 }
 
-void LibraryExchange::respond(Response response)
+void MhdExchange::respond(Response response)
 {
     if (m_state != State::Waiting) {
         return;
     }
     m_response = std::move(response);
     m_finished = true;
-    m_state = State::Answered;
+    m_state = State::ResponseSet;
     resume();
 }
 
-void LibraryExchange::beginStream(int status, Headers headers)
+void MhdExchange::beginStream(int status, Headers headers)
 {
     if (m_state != State::Waiting) {
         return;
@@ -259,7 +265,7 @@
     resume();
 }
 
-void LibraryExchange::write(std::string_view bytes)
+void MhdExchange::write(std::string_view bytes)
 {
     if (m_state != State::Streaming) {
         return;
@@ -269,18 +275,18 @@
     resume();
 }
 
-void LibraryExchange::setTrailer(Header header)
+void MhdExchange::setTrailer(Header header)
 {
     m_trailer = std::move(header);
 }
 
-void LibraryExchange::finish()
+void MhdExchange::finish()
 {
     m_finished = true;
     resume();
 }
 
-void LibraryExchange::abort()
+void MhdExchange::abort()
 {
     m_aborted = true;
     if (m_state == State::Waiting) {
@@ -289,20 +295,20 @@
     resume();
 }
 
-MHD_Result LibraryExchange::queueAnswer()
+MHD_Result MhdExchange::queueResponse()
 {
     MHD_Response *response = nullptr;
-    if (m_state == State::Answered) {
+    if (m_state == State::ResponseSet) {
         response = MHD_create_response_from_buffer(m_response.body.size(), m_response.body.data(), MHD_RESPMEM_MUST_COPY);
     } else if (m_state == State::Streaming) {
         response = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, streamBlockBytes, readStream, this, nullptr);
     } else {
         return MHD_NO;
     }
-    // Valid as long as the library calls back for it.
-    m_queued = response;
+    // The pointer stays valid as long as libmicrohttpd calls readStream for the response.
+    m_queuedResponse = response;
     addHeaders(response, m_response.headers);
-    if (m_server.isClosing()) {
+    if (m_server.closesAfterResponses()) {
         MHD_add_response_header(response, MHD_HTTP_HEADER_CONNECTION, "close");
     }
     const MHD_Result result = MHD_queue_response(m_connection, static_cast<unsigned int>(m_response.status), response);
@@ -310,7 +316,7 @@
     return result;
 }
 
-ssize_t LibraryExchange::takeBytes(char *target, std::size_t room)
+ssize_t MhdExchange::readBytes(char *target, std::size_t room)
 {
     if (m_aborted) {
         return MHD_CONTENT_READER_END_WITH_ERROR;
@@ -319,18 +325,18 @@
     if (size == 0) {
         if (m_finished) {
             if (m_trailer) {
-                MHD_add_response_footer(m_queued, m_trailer->name.c_str(), m_trailer->value.c_str());
+                MHD_add_response_footer(m_queuedResponse, m_trailer->name.c_str(), m_trailer->value.c_str());
             }
             return MHD_CONTENT_READER_END_OF_STREAM;
         }
         suspend();
         return 0;
     }
-    std::copy_n(m_buffer.data() + m_taken, size, target);
-    m_taken += size;
-    if (m_taken == m_buffer.size()) {
+    std::copy_n(m_buffer.data() + m_readOffset, size, target);
+    m_readOffset += size;
+    if (m_readOffset == m_buffer.size()) {
         m_buffer.clear();
-        m_taken = 0;
+        m_readOffset = 0;
     }
     if (m_overLowMark && buffered() <= m_lowMark) {
         m_overLowMark = false;
@@ -341,7 +347,7 @@
     return static_cast<ssize_t>(size);
 }
 
-void LibraryExchange::callerGone()
+void MhdExchange::callerDisconnected()
 {
     if (const Task closed = std::exchange(m_closed, nullptr)) {
         closed();
@@ -349,7 +355,7 @@
     abort();
 }
 
-void LibraryExchange::libraryDone()
+void MhdExchange::requestCompleted()
 {
     m_state = State::Ended;
     m_connection = nullptr;
@@ -362,14 +368,14 @@
 
 // --- LibraryServer
 
-LibraryServer::~LibraryServer()
+MhdServer::~MhdServer()
 {
     m_timer.reset();
-    m_soon.reset();
+    m_scheduledRun.reset();
     m_readable.reset();
     m_watchReadable.reset();
     if (m_daemon != nullptr) {
-        for (const auto &[pointer, exchange] : m_open) {
+        for (const auto &[pointer, exchange] : m_openExchanges) {
             exchange->onClosed(nullptr);
             exchange->abort();
         }
@@ -381,7 +387,7 @@
     }
 }
 
-absl::Status LibraryServer::start(const Base::Address &address)
+absl::Status MhdServer::start(const Base::Address &address)
 {
     sockaddr_in socketAddress {};
     socketAddress.sin_family = AF_INET;
@@ -389,14 +395,15 @@
     inet_pton(AF_INET, address.ip.c_str(), &socketAddress.sin_addr);
     const auto idleSeconds = static_cast<unsigned int>(std::chrono::duration_cast<std::chrono::seconds>(m_limits.idle).count());
     m_daemon = MHD_start_daemon(
-        MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, address.port, nullptr, nullptr, &LibraryServer::access, this,
-        MHD_OPTION_SOCK_ADDR, &socketAddress, MHD_OPTION_NOTIFY_COMPLETED, &LibraryServer::completed, this,
-        MHD_OPTION_CONNECTION_LIMIT, static_cast<unsigned int>(m_limits.connections), MHD_OPTION_CONNECTION_TIMEOUT, idleSeconds,
+        MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, address.port, nullptr, nullptr, &MhdServer::access, this, MHD_OPTION_SOCK_ADDR,
+        &socketAddress, MHD_OPTION_NOTIFY_COMPLETED, &MhdServer::completed, this, MHD_OPTION_CONNECTION_LIMIT,
+        static_cast<unsigned int>(m_limits.connections), MHD_OPTION_CONNECTION_TIMEOUT, idleSeconds,
         MHD_OPTION_CONNECTION_MEMORY_LIMIT, static_cast<std::size_t>(m_limits.headerBytes + streamBlockBytes),
-        MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_URI_LOG_CALLBACK, &LibraryServer::keepTarget, this, MHD_OPTION_END);
+        MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_URI_LOG_CALLBACK, &MhdServer::storeTarget, this, MHD_OPTION_END);
     if (m_daemon == nullptr) {
-        return makeError(Base::ErrorKind::InvalidSettings,
-                         fmt::format("cannot listen on {}; is the address this host's and free?", address.text()));
+        return makeError(
+            Base::ErrorKind::InvalidSettings,
+            fmt::format("cannot listen on {}; check that this host has the address and that the port is free", address.text()));
     }
     m_address = address;
     m_address.port = MHD_get_daemon_info(m_daemon, MHD_DAEMON_INFO_BIND_PORT)->port;
@@ -408,30 +415,30 @@
     return absl::OkStatus();
 }
 
-void LibraryServer::run()
+void MhdServer::run()
 {
-    // A connection whose input is buffered in the library makes no descriptor readable; a timeout of zero tells of it.
+    // If libmicrohttpd has buffered input of a connection, no descriptor becomes readable. A timeout of zero indicates this.
     MHD_UNSIGNED_LONG_LONG timeout = 0;
-    for (int runs = 0; runs < mostRunsPerTurn; ++runs) {
+    for (int runs = 0; runs < maxRunsPerTurn; ++runs) {
         MHD_run(m_daemon);
         if (MHD_get_timeout(m_daemon, &timeout) != MHD_YES || timeout > 0) {
             return;
         }
     }
-    runSoon();
+    scheduleRun();
 }
 
-void LibraryServer::runSoon()
+void MhdServer::scheduleRun()
 {
-    if (m_soon == nullptr) {
-        m_soon = m_loop.after(Base::Duration::zero(), [this] {
-            m_soon.reset();
+    if (m_scheduledRun == nullptr) {
+        m_scheduledRun = m_loop.after(Base::Duration::zero(), [this] {
+            m_scheduledRun.reset();
             run();
         });
     }
 }
 
-void LibraryServer::watch(const std::shared_ptr<LibraryExchange> &exchange)
+void MhdServer::watch(const std::shared_ptr<MhdExchange> &exchange)
 {
     epoll_event event {};
     event.events = EPOLLRDHUP | EPOLLET;
@@ -441,14 +448,14 @@
     }
 }
 
-void LibraryServer::unwatch(LibraryExchange &exchange)
+void MhdServer::unwatch(MhdExchange &exchange)
 {
     if (m_watched.erase(exchange.m_descriptor) > 0) {
         epoll_ctl(m_watchDescriptor, EPOLL_CTL_DEL, exchange.m_descriptor, nullptr);
     }
 }
 
-void LibraryServer::readWatched()
+void MhdServer::readWatched()
 {
     std::array<epoll_event, watchedEventsPerCall> events {};
     const int count = epoll_wait(m_watchDescriptor, events.data(), watchedEventsPerCall, 0);
@@ -459,152 +466,153 @@
         }
         if (const auto exchange = watched->second.lock()) {
             unwatch(*exchange);
-            exchange->callerGone();
+            exchange->callerDisconnected();
         }
     }
 }
 
-void LibraryServer::sweep()
+void MhdServer::sweep()
 {
     const Base::Instant now = Base::now();
-    for (const auto &[pointer, exchange] : m_open) {
-        if (exchange->m_state == LibraryExchange::State::Receiving && now - exchange->m_began > m_limits.receive) {
-            refuseRaw(
-                *exchange,
-                makeError(Base::ErrorKind::RequestTimeout,
-                          fmt::format("the request did not arrive whole within {:.0f} s", Base::seconds(m_limits.receive))));
+    for (const auto &[pointer, exchange] : m_openExchanges) {
+        if (exchange->m_state == MhdExchange::State::Receiving && now - exchange->m_startedAt > m_limits.receive) {
+            rejectOnSocket(*exchange,
+                           makeError(Base::ErrorKind::RequestTimeout,
+                                     fmt::format("the request was not received completely within {:.0f} s",
+                                                 Base::seconds(m_limits.receive))));
         }
     }
-    // Idle connections time out only when the library runs.
+    // libmicrohttpd checks the timeouts of idle connections only when it runs.
     run();
 }
 
-/// The library calls this when it has read the request line; what is returned becomes the request's state.
-void *LibraryServer::keepTarget(void *self, const char *target, MHD_Connection *connection)
+/// Stores the request target. libmicrohttpd calls this when it has read the request line, and the return value becomes the
+/// initial state of the request.
+void *MhdServer::storeTarget(void *self, const char *target, MHD_Connection *connection)
 {
-    static_cast<LibraryServer *>(self)->m_targets[connection] = target;
+    static_cast<MhdServer *>(self)->m_targets[connection] = target;
     return nullptr;
 }
 
-MHD_Result LibraryServer::storeHeader(void *exchange, MHD_ValueKind, const char *name, const char *value)
+MHD_Result MhdServer::storeHeader(void *exchange, MHD_ValueKind, const char *name, const char *value)
 {
-    auto &request = static_cast<LibraryExchange *>(exchange)->m_request;
+    auto &request = static_cast<MhdExchange *>(exchange)->m_request;
     request.headers.push_back({Base::lowerCase(name), value == nullptr ? "" : value});
     return MHD_YES;
 }
 
-MHD_Result LibraryServer::storeArgument(void *exchange, MHD_ValueKind, const char *name, const char *value)
+MHD_Result MhdServer::storeArgument(void *exchange, MHD_ValueKind, const char *name, const char *value)
 {
-    auto &query = static_cast<LibraryExchange *>(exchange)->m_request.query;
+    auto &query = static_cast<MhdExchange *>(exchange)->m_request.query;
     query += query.empty() ? "" : "&";
-    query += escaped(name);
-    query += value == nullptr ? "" : "=" + escaped(value);
+    query += percentEncoded(name);
+    query += value == nullptr ? "" : "=" + percentEncoded(value);
     return MHD_YES;
 }
 
-MHD_Result LibraryServer::begin(MHD_Connection *connection, const char *method, const char *url, void **state)
+MHD_Result MhdServer::beginRequest(MHD_Connection *connection, const char *method, const char *url, void **state)
 {
-    auto exchange = std::make_shared<LibraryExchange>(*this, connection);
+    auto exchange = std::make_shared<MhdExchange>(*this, connection);
     exchange->m_request.method = method;
     exchange->m_request.path = url;
-    MHD_get_connection_values(connection, MHD_HEADER_KIND, &LibraryServer::storeHeader, exchange.get());
-    MHD_get_connection_values(connection, MHD_GET_ARGUMENT_KIND, &LibraryServer::storeArgument, exchange.get());
+    MHD_get_connection_values(connection, MHD_HEADER_KIND, &MhdServer::storeHeader, exchange.get());
+    MHD_get_connection_values(connection, MHD_GET_ARGUMENT_KIND, &MhdServer::storeArgument, exchange.get());
     *state = exchange.get();
-    m_open.emplace(exchange.get(), exchange);
+    m_openExchanges.emplace(exchange.get(), exchange);
     exchange->m_request.target = std::exchange(m_targets[connection], {});
     m_targets.erase(connection);
     const auto length = headerValue(exchange->m_request.headers, "content-length");
     if (length && std::strtoull(std::string(*length).c_str(), nullptr, 10) > m_limits.bodyBytes) {
-        return refuse(*exchange,
+        return reject(*exchange,
                       makeError(Base::ErrorKind::RequestTooLarge,
                                 fmt::format("the body is over the limit of {} bytes", m_limits.bodyBytes)));
     }
     return MHD_YES;
 }
 
-MHD_Result LibraryServer::refuse(LibraryExchange &exchange, const absl::Status &error)
+MHD_Result MhdServer::reject(MhdExchange &exchange, const absl::Status &error)
 {
-    exchange.m_state = LibraryExchange::State::Waiting;
+    exchange.m_state = MhdExchange::State::Waiting;
     exchange.respond({httpStatus(Base::errorKind(error)),
                       {{"content-type", std::string(jsonType)}, {"yokepond-outcome", "not-run"}, {"connection", "close"}},
-                      m_errorBody(error)});
-    return exchange.queueAnswer();
+                      m_formatErrorBody(error)});
+    return exchange.queueResponse();
 }
 
-void LibraryServer::refuseRaw(LibraryExchange &exchange, const absl::Status &error)
+void MhdServer::rejectOnSocket(MhdExchange &exchange, const absl::Status &error)
 {
-    // The library takes no answer while a body is being received, so that it is written beside it.
-    exchange.m_state = LibraryExchange::State::Ended;
-    const std::string answer = rawResponse(error, m_errorBody(error));
-    ::send(exchange.m_descriptor, answer.data(), answer.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+    // libmicrohttpd accepts no response while a body is being received, so the response is written directly to the socket.
+    exchange.m_state = MhdExchange::State::Ended;
+    const std::string response = rawResponse(error, m_formatErrorBody(error));
+    ::send(exchange.m_descriptor, response.data(), response.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     ::shutdown(exchange.m_descriptor, SHUT_RDWR);
 }
 
-MHD_Result LibraryServer::receive(const std::shared_ptr<LibraryExchange> &exchange, const char *data, std::size_t *size)
+MHD_Result MhdServer::receive(const std::shared_ptr<MhdExchange> &exchange, const char *data, std::size_t *size)
 {
-    if (exchange->m_state == LibraryExchange::State::Ended) {
+    if (exchange->m_state == MhdExchange::State::Ended) {
         return MHD_NO;
     }
-    if (exchange->m_state != LibraryExchange::State::Receiving) {
+    if (exchange->m_state != MhdExchange::State::Receiving) {
         *size = 0;
-        return exchange->m_state == LibraryExchange::State::Waiting ? MHD_YES : exchange->queueAnswer();
+        return exchange->m_state == MhdExchange::State::Waiting ? MHD_YES : exchange->queueResponse();
     }
     if (*size > 0) {
         if (exchange->m_request.body.size() + *size > m_limits.bodyBytes) {
-            refuseRaw(*exchange,
-                      makeError(Base::ErrorKind::RequestTooLarge,
-                                fmt::format("the body is over the limit of {} bytes", m_limits.bodyBytes)));
+            rejectOnSocket(*exchange,
+                           makeError(Base::ErrorKind::RequestTooLarge,
+                                     fmt::format("the body is over the limit of {} bytes", m_limits.bodyBytes)));
             return MHD_NO;
         }
         exchange->m_request.body.append(data, *size);
         *size = 0;
         return MHD_YES;
     }
-    exchange->m_state = LibraryExchange::State::Waiting;
+    exchange->m_state = MhdExchange::State::Waiting;
     m_handler(exchange);
-    if (exchange->m_state == LibraryExchange::State::Waiting) {
+    if (exchange->m_state == MhdExchange::State::Waiting) {
         watch(exchange);
         exchange->suspend();
         return MHD_YES;
     }
-    if (exchange->m_state == LibraryExchange::State::Streaming) {
+    if (exchange->m_state == MhdExchange::State::Streaming) {
         watch(exchange);
     }
-    return exchange->queueAnswer();
+    return exchange->queueResponse();
 }
 
-MHD_Result LibraryServer::access(void *self, MHD_Connection *connection, const char *url, const char *method, const char *,
-                                 const char *data, std::size_t *size, void **state)
+MHD_Result MhdServer::access(void *self, MHD_Connection *connection, const char *url, const char *method, const char *,
+                             const char *data, std::size_t *size, void **state)
 {
-    auto &server = *static_cast<LibraryServer *>(self);
+    auto &server = *static_cast<MhdServer *>(self);
     if (*state == nullptr) {
-        return server.begin(connection, method, url, state);
+        return server.beginRequest(connection, method, url, state);
     }
-    const auto exchange = server.m_open.at(static_cast<LibraryExchange *>(*state));
+    const auto exchange = server.m_openExchanges.at(static_cast<MhdExchange *>(*state));
     return server.receive(exchange, data, size);
 }
 
-void LibraryServer::completed(void *self, MHD_Connection *connection, void **state, MHD_RequestTerminationCode)
+void MhdServer::completed(void *self, MHD_Connection *connection, void **state, MHD_RequestTerminationCode)
 {
-    auto &server = *static_cast<LibraryServer *>(self);
+    auto &server = *static_cast<MhdServer *>(self);
     server.m_targets.erase(connection);
-    const auto entry = server.m_open.find(static_cast<LibraryExchange *>(*state));
-    if (entry == server.m_open.end()) {
+    const auto entry = server.m_openExchanges.find(static_cast<MhdExchange *>(*state));
+    if (entry == server.m_openExchanges.end()) {
         return;
     }
     const auto exchange = entry->second;
-    server.m_open.erase(entry);
+    server.m_openExchanges.erase(entry);
     server.unwatch(*exchange);
-    exchange->libraryDone();
+    exchange->requestCompleted();
     *state = nullptr;
 }
 
 } // namespace
 
 absl::StatusOr<std::unique_ptr<Server>> Server::listen(Base::Loop &loop, const Base::Address &address, const ServerLimits &limits,
-                                                       Handler handler, ErrorBody errorBody)
+                                                       Handler handler, ErrorBodyFormatter formatErrorBody)
 {
-    auto server = std::make_unique<LibraryServer>(loop, limits, std::move(handler), std::move(errorBody));
+    auto server = std::make_unique<MhdServer>(loop, limits, std::move(handler), std::move(formatErrorBody));
     if (absl::Status status = server->start(address); !status.ok()) {
         return status;
     }
--- a/Source/Http/server.h
+++ b/Source/Http/server.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// An HTTP server on libmicrohttpd, run by a Base::Loop: no thread of its own, no blocking call.
+/// An HTTP server based on libmicrohttpd. It runs on a Base::Loop, without its own thread and without blocking calls.
 
 #pragma once
 
@@ -18,16 +18,17 @@
 
 namespace Yokepond::Http {
 
+/// Limits on callers' connections and requests.
 struct ServerLimits
 {
-    std::size_t connections = 4096;
-    std::size_t bodyBytes = 4U << 20U;
-    std::size_t headerBytes = 16U << 10U;
-    Base::Duration idle = std::chrono::seconds(60); ///< without a byte in either direction, while no answer is awaited
-    Base::Duration receive = std::chrono::seconds(30); ///< from the first header line to the end of the body
+    std::size_t connections = 4096; ///< open at the same time
+    std::size_t bodyBytes = 4U << 20U; ///< of a request's body
+    std::size_t headerBytes = 16U << 10U; ///< memory for the head of a request
+    Base::Duration idle = std::chrono::seconds(60); ///< timeout without traffic, unless a response is pending
+    Base::Duration receive = std::chrono::seconds(30); ///< time limit for receiving the body, from the end of the request's head
 };
 
-/// One request and its answer. All calls on the loop's thread.
+/// A request and its response. All functions must be called on the loop's thread.
 class Exchange
 {
 public:
@@ -37,62 +38,66 @@
 
     virtual const Request &request() const = 0;
 
-    /// Answers with a whole body. Exactly one of respond() and beginStream() is called, once.
+    /// Sends a complete response. Exactly one of respond() and beginStream() must be called, once.
     virtual void respond(Response response) = 0;
 
-    /// Begins an answer whose body follows by write().
+    /// Starts a response whose body is passed to write() piece by piece.
     virtual void beginStream(int status, Headers headers) = 0;
 
-    /// Adds to the body of a begun stream. The bytes are held until the caller takes them; see buffered().
+    /// Appends to the body of a started stream. The bytes are buffered until the caller has received them; see buffered().
     virtual void write(std::string_view bytes) = 0;
 
-    /// Sends @p header after the body of a begun stream. The stream's head must have announced it in a `trailer` header.
+    /// Sends @p header as a trailer, after the body of a started stream. The head of the stream must announce it in a `trailer`
+    /// header.
     virtual void setTrailer(Header header) = 0;
 
-    /// Ends a begun stream after what has been written.
+    /// Ends a started stream after the bytes that have been written.
     virtual void finish() = 0;
 
-    /// Cuts the connection: the caller can tell that the answer is not whole.
+    /// Closes the connection, so that the caller sees an incomplete response.
     virtual void abort() = 0;
 
-    /// Bytes written and not yet handed to the kernel.
+    /// Returns the number of bytes written to the stream that have not been passed to the kernel.
     virtual std::size_t buffered() const = 0;
 
-    /// Called when buffered() has fallen to the low mark after having been over it.
+    /// Sets a callback that is called whenever buffered() falls to @p lowMark after it was above it.
     virtual void onDrained(std::size_t lowMark, Task task) = 0;
 
-    /// Called once if the caller closes the connection (or half of it) before the answer has ended.
+    /// Sets a callback that is called once if the caller closes the connection (or half of it) before the end of the response.
     virtual void onClosed(Task task) = 0;
 };
 
-/// Answers are JSON unless the handler says otherwise; requests over a limit never reach the handler.
+/// Receives requests and passes them to a handler. Requests over a limit get an error response in JSON and are not passed on.
 class Server
 {
 public:
     using Handler = std::function<void(std::shared_ptr<Exchange>)>;
 
-    /// Makes the body of the answer to a request that is refused before it reaches the handler.
-    using ErrorBody = std::function<std::string(const absl::Status &)>;
+    /// Returns the body of the error response for a request that the server rejects itself.
+    using ErrorBodyFormatter = std::function<std::string(const absl::Status &)>;
 
-    /// Listens on @p address (port 0: a free one). Fails with ErrorKind::InvalidSettings if the address cannot be had.
+    /// Starts a server that listens on @p address; port 0 selects a free port. Fails with ErrorKind::InvalidSettings if the
+    /// address is not available.
     static absl::StatusOr<std::unique_ptr<Server>> listen(Base::Loop &loop, const Base::Address &address,
-                                                          const ServerLimits &limits, Handler handler, ErrorBody errorBody);
+                                                          const ServerLimits &limits, Handler handler,
+                                                          ErrorBodyFormatter formatErrorBody);
 
     virtual ~Server() = default;
 
-    /// The address that is listened on, with the port chosen.
+    /// Returns the address of the listener, with the actual port.
     virtual const Base::Address &address() const = 0;
 
-    /// Connections open now.
+    /// Returns the number of open connections.
     virtual std::size_t connections() const = 0;
 
-    /// Stops accepting connections; those open go on.
+    /// Stops accepting connections. Open connections stay open.
     virtual void closeListener() = 0;
 
-    /// From now on each answer ends its connection, and says so.
+    /// From now on, closes each connection after its next response, which announces it in a `Connection: close` header.
     virtual void closeAfterResponses() = 0;
 
-    /// Requests that have come, whole or in part, and whose answers have not been handed to the kernel whole.
+    /// Returns the number of requests that have been received at least in part and whose responses have not been passed to the
+    /// kernel completely.
     virtual std::size_t openRequests() const = 0;
 };
 
