--- a/Source/Node/frontend.h
+++ b/Source/Node/frontend.h
@@ -48,8 +48,8 @@
     // Events of the relay
     void callArrived(const Relay::CallArrived &call);
     void callerDisconnected(std::uint64_t id);
-    void endpointAdvertised(const Relay::EndpointStated &stated);
-    void runReported(Relay::RunOver over);
+    void endpointAdvertised(const Relay::EndpointAdvertised &advertised);
+    void runReported(Relay::RunEnded over);
 
     // Actions of the home
     void startRun(const Request::StartRun &run);
@@ -87,7 +87,7 @@
         std::uint32_t organisation = 0;
         Configuration::RequestClass requestClass;
         std::string path; ///< request path at the endpoint
-        std::string callersName; ///< the caller's own name for the request; empty if its protocol has none
+        std::string callerRequestId; ///< the caller's own name for the request; empty if its protocol has none
         std::string organisationName; ///< sent to the endpoint; may be empty
         std::string endpoint; ///< endpoint of the last run; empty before the first run
         int rank = 0; ///< priority; 1 is the highest
@@ -133,11 +133,11 @@
     void respond(std::uint64_t call, Http::Response response);
     /// Responds with @p error to a call that was not passed to the home, and logs that.
     void refuse(std::uint64_t call, const absl::Status &error, Request::Outcome outcome = Request::Outcome::NotRun,
-                Base::Duration retryAfter = {}, const std::string &callersName = {});
+                Base::Duration retryAfter = {}, const std::string &callerRequestId = {});
     void logRequestEnd(const AdmittedRequest &admitted, Request::Outcome outcome, const absl::Status &error) const;
     nlohmann::json traceSteps(const AdmittedRequest &admitted) const;
     void logRefusal(std::uint64_t call, const absl::Status &error, Request::Outcome outcome,
-                    const std::string &callersName) const;
+                    const std::string &callerRequestId) const;
     Http::Response errorResponseFor(const absl::Status &error, Request::Outcome outcome, std::uint64_t call,
                                     Base::Duration retryAfter) const;
     /// Records the outcome of an operation and responds to the requests that wait for it.
--- a/Source/Standin/engine.cpp
+++ b/Source/Standin/engine.cpp
@@ -110,7 +110,7 @@
 {
     Http::Headers headers;
     if (!m_faults.advertisedRate.empty()) {
-        headers.push_back({std::string(Relay::statedRateHeader), m_faults.advertisedRate});
+        headers.push_back({std::string(Relay::advertisedRateHeader), m_faults.advertisedRate});
     }
     if (!m_faults.advertisedLeaving.empty()) {
         headers.push_back({std::string(Relay::leavingHeader), m_faults.advertisedLeaving});
--- a/Tests/Fuzz/fuzzevents.cpp
+++ b/Tests/Fuzz/fuzzevents.cpp
@@ -24,7 +24,7 @@
             output += event.bytes;
         }
     }
-    if (output.size() + splitter.held() != text.size() || !text.starts_with(output)) {
+    if (output.size() + splitter.pendingBytes() != text.size() || !text.starts_with(output)) {
         std::abort();
     }
     return 0;
--- a/Tests/Relay/eventsplittertest.cpp
+++ b/Tests/Relay/eventsplittertest.cpp
@@ -12,7 +12,7 @@
     EventSplitter splitter;
 };
 
-TEST(EventSplitter, anyCutOfTheBytesGivesTheSameEvents)
+TEST(EventSplitter, eventsDoNotDependOnWhereTheBytesAreSplit)
 {
     const std::string text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nevent: error\ndata: c\n\ndata: [DONE]\n\n";
     for (std::size_t cut = 0; cut <= text.size(); ++cut) {
@@ -30,11 +30,11 @@
             whole += event.bytes;
         }
         STRCMP_EQUAL(text.c_str(), whole.c_str());
-        CHECK_EQUAL(0U, fresh.held());
+        CHECK_EQUAL(0U, fresh.pendingBytes());
     }
 }
 
-TEST(EventSplitter, resetForgetsACutOffEvent)
+TEST(EventSplitter, resetDiscardsAnIncompleteEvent)
 {
     CHECK_EQUAL(0U, splitter.feed("id: 3\ndata: ha").size());
     splitter.reset();
