--- a/Source/Language/statement.cpp
+++ b/Source/Language/statement.cpp
@@ -86,8 +86,8 @@
     return tokens;
 }
 
-/// Reads the tokens of one statement in order. It keeps the first error; after an error every read returns an empty or default
-/// value, so that the parser checks for an error only once, at the end.
+/// Reads the tokens of one statement in order. It keeps the first error; after an error the consume functions return empty or
+/// default values, so that most callers need no check of their own.
 class TokenReader
 {
 public:
@@ -122,7 +122,7 @@
         return atEnd() ? std::string() : m_tokens[m_next].text;
     }
 
-    void fail(std::string_view expected, std::string_view nearest = {})
+    void setSyntaxError(std::string_view expected, std::string_view nearest = {})
     {
         if (m_error.ok()) {
             m_error = syntaxError(column(), expected, peek(), nearest);
@@ -136,11 +136,11 @@
         }
     }
 
-    /// Consumes the next token and returns its text. @p expected describes the token for the error at the end of the statement.
+    /// Consumes the next token and returns its text. If there is none, sets a syntax error that says what was @p expected.
     std::string consume(std::string_view expected)
     {
         if (!m_error.ok() || atEnd()) {
-            fail(expected);
+            setSyntaxError(expected);
             return {};
         }
         return m_tokens[m_next++].text;
@@ -159,7 +159,7 @@
     void require(std::string_view word)
     {
         if (!consumeIf(word)) {
-            fail(fmt::format("'{}'", word));
+            setSyntaxError(fmt::format("'{}'", word));
         }
     }
 
@@ -170,7 +170,8 @@
         const auto value = Base::valueOf(table, peek());
         if (!m_error.ok() || !value) {
             const std::vector<std::string> words = namesOf(table);
-            fail(fmt::format("{}: {}", description, absl::StrJoin(words, ", ")), Configuration::nearestWord(peek(), words));
+            setSyntaxError(fmt::format("{}: {}", description, absl::StrJoin(words, ", ")),
+                           Configuration::nearestWord(peek(), words));
             return table.front().first;
         }
         ++m_next;
@@ -180,7 +181,7 @@
     std::string consumeName(std::string_view description)
     {
         if (!Configuration::validName(peek())) {
-            fail(fmt::format("{} (letters, digits, '-', '_', '.'; at most 64)", description));
+            setSyntaxError(fmt::format("{} (letters, digits, '-', '_', '.'; at most 64)", description));
             return {};
         }
         return consume(description);
@@ -189,7 +190,7 @@
     void requireEnd()
     {
         if (!atEnd()) {
-            fail("the end of the statement");
+            setSyntaxError("the end of the statement");
         }
     }
 
@@ -222,8 +223,9 @@
     const auto schema = std::ranges::find(schemas, reader.peek(), &FieldSchema::name);
     if (schema == schemas.end()) {
         const std::vector<std::string> names = fieldNames(kind);
-        reader.fail(fmt::format("a field of a {}: {}", Base::nameOf(Configuration::kindNames, kind), absl::StrJoin(names, ", ")),
-                    Configuration::nearestWord(reader.peek(), names));
+        reader.setSyntaxError(
+            fmt::format("a field of a {}: {}", Base::nameOf(Configuration::kindNames, kind), absl::StrJoin(names, ", ")),
+            Configuration::nearestWord(reader.peek(), names));
         return {};
     }
     reader.consume("a field");
@@ -244,7 +246,7 @@
     while (reader.error().ok() && !reader.atEnd()) {
         FieldValue field = readField(reader, kind);
         if (std::ranges::find(fields, field.field, &FieldValue::field) != fields.end()) {
-            reader.fail(fmt::format("'{}' only once", field.field));
+            reader.setSyntaxError(fmt::format("the field '{}' at most once", field.field));
         }
         fields.push_back(std::move(field));
     }
@@ -276,7 +278,7 @@
     }
     if (verb == Verb::Release) {
         reader.require("work");
-        return ReleaseWork {reader.consume("the hash of a work as listed by `show quarantine`")};
+        return ReleaseWork {reader.consume("the work hash that `show quarantine` lists")};
     }
     const Kind kind = reader.consumeEnum(Configuration::kindNames, "a kind");
     std::string name = reader.consumeName(fmt::format("the name of a {}", Base::nameOf(Configuration::kindNames, kind)));
@@ -284,7 +286,7 @@
         return Delete {kind, std::move(name)};
     }
     if (verb == Verb::Set && reader.atEnd()) {
-        reader.fail("a field and its value");
+        reader.setSyntaxError("a field and its value");
     }
     std::vector<FieldValue> fields = readFields(reader, kind);
     if (verb == Verb::Set) {
@@ -312,7 +314,7 @@
 Show readShow(TokenReader &reader)
 {
     Show show;
-    show.subject = reader.consumeEnum(subjectNames, "what to show");
+    show.subject = reader.consumeEnum(subjectNames, "a subject to show");
     if (reader.consumeIf("where")) {
         do {
             show.conditions.push_back(readCondition(reader));
@@ -326,7 +328,7 @@
     if (reader.consumeIf("limit")) {
         std::size_t limit = 0;
         if (!Base::parseInteger(reader.peek(), &limit)) {
-            reader.fail("a whole number");
+            reader.setSyntaxError("a whole number");
         }
         reader.consume("a whole number");
         show.limit = limit;
@@ -343,7 +345,7 @@
     if (reader.consumeEnum(queryVerbNames, "a query") == QueryVerb::Show) {
         return readShow(reader);
     }
-    const WhySubject subject = reader.consumeEnum(whySubjectNames, "whose reasons to tell");
+    const WhySubject subject = reader.consumeEnum(whySubjectNames, "a kind of object to explain");
     return Why {subject, reader.consume("a name or id")};
 }
 
--- a/Source/Language/statement.h
+++ b/Source/Language/statement.h
@@ -53,11 +53,11 @@
     std::string id;
 };
 
-/// Removes work from quarantine, where it was put because endpoints crashed while running it. This takes effect immediately and
-/// does not change the configuration.
+/// Ends the quarantine of requests with the same content (`work`), which were quarantined because endpoints crashed while they
+/// ran them. This takes effect immediately and does not change the configuration.
 struct ReleaseWork
 {
-    std::string work; ///< hash of the requested content, as `show quarantine` lists it
+    std::string work; ///< hash of the content of the requests, as `show quarantine` lists it
 };
 
 using Command = std::variant<Create, Set, Delete, Drain, CancelRequest, ReleaseWork>;
--- a/Source/Load/loadprogram.cpp
+++ b/Source/Load/loadprogram.cpp
@@ -68,9 +68,9 @@
     RunMetadata metadata {values["label"].as<std::string>(), values["seed"].as<std::uint64_t>(), values["factor"].as<double>(),
                           0};
     Runner runner(*scenario, std::move(*fleet), generateArrivals(*scenario, metadata.seed, metadata.factor));
-    const std::uint64_t tokensBefore = runner.engineTokens();
+    const std::uint64_t tokensBefore = runner.fetchEngineTokenTotal();
     const std::vector<Sample> samples = runner.run();
-    metadata.engineTokens = runner.engineTokens() - tokensBefore;
+    metadata.engineTokens = runner.fetchEngineTokenTotal() - tokensBefore;
     const nlohmann::json summary = summarise(*scenario, samples, metadata);
     fmt::print("{}", renderReport(summary));
     writeFile(values["json"].as<std::string>(), summary.dump(1) + "\n");
--- a/Source/Load/report.cpp
+++ b/Source/Load/report.cpp
@@ -49,10 +49,10 @@
         firstTokens.push_back(sample->firstToken);
         gaps.push_back(sample->meanGap);
         totals.push_back(sample->total);
-        firstTokenMet += sample->firstToken <= load.firstToken ? 1 : 0;
-        gapMet += sample->meanGap <= load.tokenGap ? 1 : 0;
+        firstTokenMet += sample->firstToken <= load.firstTokenTarget ? 1 : 0;
+        gapMet += sample->meanGap <= load.tokenGapTarget ? 1 : 0;
         deadlineMet += sample->total <= load.deadline ? 1 : 0;
-        if (attained(load, *sample)) {
+        if (metAllTargets(load, *sample)) {
             ++attainedCount;
             goodTokens += sample->tokens;
         }
@@ -76,8 +76,9 @@
     return summary;
 }
 
-/// Returns the number of tokens in completed responses that met their deadlines. All other generated tokens count as wasted.
-std::uint64_t usefulTokens(const Scenario &scenario, const std::vector<Sample> &samples)
+/// Returns the number of tokens in completed responses of engine classes that met their deadline, warm-up included. All other
+/// generated tokens count as wasted. Good tokens, which goodput counts, must meet all three targets after the warm-up.
+std::uint64_t tokensWithinDeadline(const Scenario &scenario, const std::vector<Sample> &samples)
 {
     std::uint64_t tokens = 0;
     for (const Sample &sample : samples) {
@@ -95,10 +96,10 @@
 
 } // namespace
 
-bool attained(const ClassLoad &load, const Sample &sample)
+bool metAllTargets(const ClassLoad &load, const Sample &sample)
 {
-    return sample.result == Result::Completed && sample.firstToken <= load.firstToken && sample.meanGap <= load.tokenGap
-        && sample.total <= load.deadline;
+    return sample.result == Result::Completed && sample.firstToken <= load.firstTokenTarget
+        && sample.meanGap <= load.tokenGapTarget && sample.total <= load.deadline;
 }
 
 nlohmann::json summarise(const Scenario &scenario, const std::vector<Sample> &samples, const RunMetadata &metadata)
@@ -115,7 +116,7 @@
         classes.push_back(summariseClass(scenario.classes[index], classSamples));
         goodTokens += classes.back()["good-tokens"].get<std::uint64_t>();
     }
-    const std::uint64_t useful = usefulTokens(scenario, samples);
+    const std::uint64_t useful = tokensWithinDeadline(scenario, samples);
     const std::uint64_t wasted = metadata.engineTokens > useful ? metadata.engineTokens - useful : 0;
     const double countedSeconds = Base::seconds(scenario.duration - scenario.warmUp);
     return {{"scenario", scenario.name},
@@ -141,13 +142,13 @@
                         "first p99", "gap p95");
     for (const nlohmann::json &entry : summary["classes"]) {
         const auto count = [&](const char *name) { return entry[name].get<std::uint64_t>(); };
-        const auto part = [&](const char *name) { return entry[name].get<double>() * 100; };
+        const auto percentage = [&](const char *name) { return entry[name].get<double>() * 100; };
         text += fmt::format("{:<12}{:>8}{:>9.2f}%{:>8.1f}%{:>7.1f}%{:>9.1f}%{:>10}{:>9}{:>8}{:>7}{:>11.0f}{:>11.0f}{:>10.1f}\n",
-                            entry["class"].get<std::string>(), count("offered"), part("attained"), part("attained-first-token"),
-                            part("attained-gap"), part("attained-deadline"), count("completed"), count("refused"),
-                            count("unknown"), count("failed") + count("wrong") + count("unanswered"),
-                            entry["first-token-ms"]["p50"].get<double>(), entry["first-token-ms"]["p99"].get<double>(),
-                            entry["gap-ms"]["p95"].get<double>());
+                            entry["class"].get<std::string>(), count("offered"), percentage("attained"),
+                            percentage("attained-first-token"), percentage("attained-gap"), percentage("attained-deadline"),
+                            count("completed"), count("refused"), count("unknown"),
+                            count("failed") + count("wrong") + count("unanswered"), entry["first-token-ms"]["p50"].get<double>(),
+                            entry["first-token-ms"]["p99"].get<double>(), entry["gap-ms"]["p95"].get<double>());
     }
     return text;
 }
@@ -173,7 +174,7 @@
         for (const Sample &sample : samples) {
             if (sample.classIndex == index) {
                 auto &[attainedCount, all] = bySecond[static_cast<int>(Base::seconds(sample.due))];
-                attainedCount += attained(scenario.classes[index], sample) ? 1 : 0;
+                attainedCount += metAllTargets(scenario.classes[index], sample) ? 1 : 0;
                 ++all;
             }
         }
--- a/Source/Load/report.h
+++ b/Source/Load/report.h
@@ -18,7 +18,7 @@
 
 namespace Yokepond::Load {
 
-/// Outcome of one request of a load run.
+/// How one request of a load run ended.
 enum class Result { Completed, Refused, Unknown, Failed, WrongResponse, NoResponse };
 
 inline constexpr Base::NameTable<Result, 6> resultNames = {{
@@ -26,8 +26,9 @@
     {Result::Refused, "refused"}, ///< the response says that the request was not run
     {Result::Unknown, "unknown"}, ///< the response says that the request may have run
     {Result::Failed, "failed"}, ///< the connection failed, the response was incomplete, or another error occurred
-    {Result::WrongResponse, "wrong"}, ///< the stream ended normally, but its tokens are not those of this request
-    {Result::NoResponse, "unanswered"}, ///< the response had not ended when the run did
+    {Result::WrongResponse,
+     "wrong"}, ///< the stream ended with its end marker, but a token was wrong or it contained an error event
+    {Result::NoResponse, "unanswered"}, ///< the response had not begun or not ended when the run ended
 }};
 
 /// Measurements of one request. Times count from the scheduled send time, so that delays of the load generator itself are
@@ -46,24 +47,25 @@
 
 /// Returns whether the request completed and met all three targets of its class: first token, mean inter-token latency and
 /// total time.
-bool attained(const ClassLoad &load, const Sample &sample);
+bool metAllTargets(const ClassLoad &load, const Sample &sample);
 
 /// Properties of a load run that the samples do not contain.
 struct RunMetadata
 {
     std::string label;
     std::uint64_t seed = 0;
-    double factor = 1; ///< multiplier of all rates
+    double factor = 1; ///< multiplier of the request rates of all classes
     std::uint64_t engineTokens = 0; ///< tokens that all engines generated during the run
 };
 
-/// Returns the figures of the whole run and of each class. Requests scheduled during the warm-up are not counted in the classes.
+/// Returns the results of the whole run and of each class. The results of classes and the goodput leave out requests scheduled
+/// during the warm-up; the wasted share covers the whole run.
 nlohmann::json summarise(const Scenario &scenario, const std::vector<Sample> &samples, const RunMetadata &metadata);
 
 /// Returns the summary as a plain-text table.
 std::string renderReport(const nlohmann::json &summary);
 
-/// Returns an SVG plot of the share of requests of each class that met their targets, by the second in which they were due.
+/// Returns an SVG plot of the share of requests of each class that met their targets, by scheduled second.
 std::string renderPlot(const Scenario &scenario, const std::vector<Sample> &samples, const RunMetadata &metadata);
 
 } // namespace Yokepond::Load
--- a/Source/Load/runner.cpp
+++ b/Source/Load/runner.cpp
@@ -30,12 +30,12 @@
     std::size_t index = 0; ///< index of its arrival
     std::string tokenPrefix; ///< text with which every token of the right response begins
     int status = 0;
-    std::string outcome;
+    std::string outcome; ///< value of the response header yokepond-outcome
     std::string body;
     Relay::EventSplitter splitter;
     std::uint32_t tokens = 0;
     bool doneReceived = false; ///< the end marker of the stream was received
-    bool wrong = false; ///< a token was out of order, repeated or of another request, or an error event was received
+    bool wrong = false; ///< a token was lost, reordered, repeated or of another request, or an error event was received
     Base::Instant firstTokenAt {};
     Base::Instant lastTokenAt {};
 };
@@ -50,16 +50,17 @@
             fleet.hosts.push_back(host.at("caller"));
         }
         fleet.keys = json.at("callerKeys").get<std::map<std::string, std::string>>();
-        fleet.targets["platform"] = json.at("platform").at("address");
+        fleet.faultTargets["platform"] = json.at("platform").at("address");
         for (const nlohmann::json &endpoint : json.at("endpoints")) {
-            fleet.targets[endpoint.at("name")] = endpoint.at("address");
+            fleet.faultTargets[endpoint.at("name")] = endpoint.at("address");
             if (endpoint.at("kind") == "engine") {
                 fleet.engines.push_back(endpoint.at("address"));
             }
         }
         return fleet;
     } catch (const nlohmann::json::exception &exception) {
-        return makeError(Base::ErrorKind::InvalidSettings, fmt::format("{}: not a fleet.json: {}", file, exception.what()));
+        return makeError(Base::ErrorKind::InvalidSettings,
+                         fmt::format("{}: missing or not a valid fleet.json file: {}", file, exception.what()));
     }
 }
 
@@ -103,8 +104,8 @@
         }
     });
     m_loop.run();
-    // Closes the connections of requests that are still open: a loop that is made later, as in engineTokens(), needs file
-    // descriptors below FD_SETSIZE.
+    // Closes the connections of open requests to free low descriptor numbers: Base::Loop needs descriptors below FD_SETSIZE, and
+    // fetchEngineTokenTotal() creates another loop later.
     m_clients.clear();
     m_openRequests.clear();
     return m_samples;
@@ -148,7 +149,7 @@
     const std::string text = prompt(arrival);
     auto request = std::make_unique<OpenRequest>();
     request->index = index;
-    // The stand-in engine begins every token with a hash of the prompt, in which each message ends with a line feed.
+    // The stand-in engine begins every token with a hash of the prompt. It appends a line feed to each message before it hashes.
     request->tokenPrefix = fmt::format("{:08x}:", Base::hash64(text + "\n") & 0xffffffffU);
     m_openRequests[index] = std::move(request);
     const nlohmann::json body
@@ -165,22 +166,23 @@
     const Arrival &arrival = m_arrivals[index];
     m_openRequests[index] = std::make_unique<OpenRequest>();
     m_openRequests[index]->index = index;
-    Http::Transfer ticket {
+    Http::Transfer ticketRequest {
         .method = "POST", .url = fmt::format("http://{}/v1/tickets", host(index)), .headers = headers(arrival)};
-    fetch(client(index), std::move(ticket), [this, index, arrival](const Http::TransferResult &result, const std::string &body) {
-        if (result.status != httpCreated) {
-            requestFinished(index, result);
-            return;
-        }
-        Http::Headers callHeaders = headers(arrival);
-        callHeaders.push_back({"Idempotency-Key", nlohmann::json::parse(body, nullptr, false).value("ticket", "")});
-        const std::string &pool = m_scenario.classes[arrival.classIndex].pool;
-        startTransfer(index,
-                      {.method = "POST",
-                       .url = fmt::format("http://{}/v1/services/{}/do", host(index), pool),
-                       .headers = callHeaders,
-                       .body = "{}"});
-    });
+    fetch(client(index), std::move(ticketRequest),
+          [this, index, arrival](const Http::TransferResult &result, const std::string &body) {
+              if (result.status != httpCreated) {
+                  requestFinished(index, result);
+                  return;
+              }
+              Http::Headers callHeaders = headers(arrival);
+              callHeaders.push_back({"Idempotency-Key", nlohmann::json::parse(body, nullptr, false).value("ticket", "")});
+              const std::string &pool = m_scenario.classes[arrival.classIndex].pool;
+              startTransfer(index,
+                            {.method = "POST",
+                             .url = fmt::format("http://{}/v1/services/{}/do", host(index), pool),
+                             .headers = callHeaders,
+                             .body = "{}"});
+          });
 }
 
 void Runner::startTransfer(std::size_t index, Http::Transfer transfer)
@@ -210,8 +212,8 @@
             continue;
         }
         ++request.tokens;
-        // Each token carries the hash of its prompt and its number: the check finds lost, reordered and repeated tokens, and
-        // tokens of another request.
+        // Each token contains the hash of the prompt and the token's number, so this comparison finds lost, reordered and
+        // repeated tokens, and tokens of another request.
         request.wrong = request.wrong || event.isError
             || event.bytes.find(fmt::format("{}{} ", request.tokenPrefix, request.tokens)) == std::string::npos;
         request.firstTokenAt = request.tokens == 1 ? now : request.firstTokenAt;
@@ -256,15 +258,15 @@
     const Base::Duration elapsed = Base::now() - m_start;
     while (m_nextFault < m_scenario.faults.size() && m_scenario.faults[m_nextFault].at <= elapsed) {
         const ScheduledFault &fault = m_scenario.faults[m_nextFault++];
-        const auto target = m_fleet.targets.find(fault.target);
-        if (target != m_fleet.targets.end()) {
+        const auto target = m_fleet.faultTargets.find(fault.target);
+        if (target != m_fleet.faultTargets.end()) {
             fetch(client(0), {.method = "POST", .url = fmt::format("http://{}/faults", target->second), .body = fault.body},
                   [](const Http::TransferResult &, const std::string &) {});
         }
     }
 }
 
-std::uint64_t Runner::engineTokens()
+std::uint64_t Runner::fetchEngineTokenTotal()
 {
     std::uint64_t tokens = 0;
     std::size_t pending = m_fleet.engines.size();
--- a/Source/Load/runner.h
+++ b/Source/Load/runner.h
@@ -24,11 +24,12 @@
 {
     std::vector<std::string> hosts; ///< addresses that accept callers' requests
     std::map<std::string, std::string> keys; ///< callers' keys, by name of the organisation
-    std::map<std::string, std::string> targets; ///< addresses that accept fault injection, by name of the endpoint or `platform`
+    std::map<std::string, std::string>
+        faultTargets; ///< addresses that accept fault injection, by endpoint name; the platform's name is `platform`
     std::vector<std::string> engines; ///< addresses of the engines
 };
 
-/// Reads a fleet.json file. Returns ErrorKind::InvalidSettings if the file cannot be read or a key is missing.
+/// Reads a fleet.json file. Returns ErrorKind::InvalidSettings if the file cannot be read or lacks a JSON field.
 absl::StatusOr<FleetAccess> loadFleet(const std::string &file);
 
 /// Runs one load scenario: sends each request at its scheduled time, injects the scheduled faults and measures the responses.
@@ -42,11 +43,12 @@
     Runner &operator=(const Runner &) = delete;
 
     /// Sends all requests and returns one sample for each. Returns when the scenario's duration has passed and all responses have
-    /// ended, but waits at most the drain time for them. Requests still open then are aborted and count as Result::NoResponse.
+    /// ended, but waits for them at most Scenario::drain after the duration. Requests still open then are aborted and count as
+    /// Result::NoResponse.
     std::vector<Sample> run();
 
-    /// Returns the number of tokens that the engines have generated since they started, summed over all engines.
-    std::uint64_t engineTokens();
+    /// Asks all engines for the number of tokens that they have generated since they started, and returns the sum.
+    std::uint64_t fetchEngineTokenTotal();
 
 private:
     struct OpenRequest;
@@ -68,8 +70,8 @@
     FleetAccess m_fleet;
     std::vector<Arrival> m_arrivals;
     Base::Loop m_loop;
-    /// Requests are distributed over several clients, because libcurl searches all connections of a client for one to reuse;
-    /// with fewer connections each, the search is short.
+    /// libcurl searches all connections of a client for one to reuse. Requests are distributed over several clients, so that
+    /// each client has fewer connections and its search is short.
     std::vector<std::unique_ptr<Http::Client>> m_clients;
     std::vector<Sample> m_samples;
     std::map<std::size_t, std::unique_ptr<OpenRequest>> m_openRequests; ///< by index of the arrival
--- a/Source/Load/scenario.cpp
+++ b/Source/Load/scenario.cpp
@@ -50,8 +50,8 @@
     load.promptBytes = static_cast<std::size_t>(ini.number(section, "prompt-bytes", 400, 0, 1 << 20));
     load.prefixBytes = static_cast<std::size_t>(ini.number(section, "prefix-bytes", 0, 0, 1 << 20));
     load.prefixes = static_cast<std::uint32_t>(ini.number(section, "prefixes", 1, 1, 1'000'000));
-    load.firstToken = milliseconds(ini, section, "first-token-ms", 1400);
-    load.tokenGap = milliseconds(ini, section, "token-gap-ms", 37);
+    load.firstTokenTarget = milliseconds(ini, section, "first-token-ms", 1400);
+    load.tokenGapTarget = milliseconds(ini, section, "token-gap-ms", 37);
     load.deadline = milliseconds(ini, section, "deadline-ms", 60'000);
     load.organisations = parseShares(ini, section);
     return load;
--- a/Source/Load/scenario.h
+++ b/Source/Load/scenario.h
@@ -29,14 +29,14 @@
 {
     std::string name;
     double rate = 1; ///< requests per second
-    bool service = false; ///< the requests call a service and not an engine; each gets its own ticket first
-    std::string pool; ///< pool of the service, empty for engines
+    bool service = false; ///< the requests call a service and not an engine; each first gets a ticket, its idempotency key
+    std::string pool; ///< pool whose endpoints run the service, empty for engines
     double meanTokens = 48; ///< mean length of a response; the lengths have a geometric distribution
-    std::size_t promptBytes = 400; ///< length of the part of the prompt that is unique to the request
+    std::size_t promptBytes = 400; ///< length of the part of the prompt after the shared prefix; it is unique to the request
     std::size_t prefixBytes = 0; ///< length of the shared prefix of the prompt
     std::uint32_t prefixes = 1; ///< number of different shared prefixes; their popularity is Zipf-distributed
-    Base::Duration firstToken {}; ///< target for the time to the first token
-    Base::Duration tokenGap {}; ///< target for the mean inter-token latency of a response
+    Base::Duration firstTokenTarget {}; ///< target for the time to the first token
+    Base::Duration tokenGapTarget {}; ///< target for the mean inter-token latency of a response
     Base::Duration deadline {}; ///< target for the time to the end of the response
     std::vector<OrganisationShare> organisations;
 };
