--- a/Source/Http/client.cpp
+++ b/Source/Http/client.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr int eventsPerCall = 256;
-constexpr long receiveBufferBytes = 4096; ///< allocated for each transfer
+constexpr long receiveBufferBytes = 4096; ///< size of the receive buffer that libcurl allocates for each transfer
 
 struct HeaderListDeleter
 {
@@ -38,7 +38,7 @@
     }
 };
 
-/// A transfer in progress. libcurl keeps its address as the private pointer of the handle.
+/// A transfer in progress. The libcurl handle has the address of this object as its private pointer.
 struct ActiveTransfer
 {
     Client::Id id = 0;
@@ -111,8 +111,8 @@
     }
 }
 
-/// Returns the stage of a transfer that libcurl reports as successful. libcurl accepts a closed connection as the end of a
-/// response without a declared length, and even of an incomplete head. Neither shows that the response is complete.
+/// Returns the stage of a transfer that libcurl reports as successful. libcurl reports success also if the connection is closed
+/// before the end of the head, or after a head without a declared body length. In both cases the response may be incomplete.
 TransferStage successStage(const ActiveTransfer &running)
 {
     constexpr int noContent = 204;
--- a/Source/Http/client.h
+++ b/Source/Http/client.h
@@ -27,7 +27,13 @@
 };
 
 /// Why a transfer failed.
-enum class TransferFailure { None, Connect, Timeout, Broken, Cancelled };
+enum class TransferFailure {
+    None,
+    Connect, ///< the connection could not be opened
+    Timeout, ///< the connection or the transfer took longer than its timeout
+    Broken, ///< any other error of libcurl
+    Cancelled, ///< not reported at present, because a cancelled transfer has no onEnd
+};
 
 /// The result of a transfer that has ended.
 struct TransferResult
--- a/Source/Http/server.cpp
+++ b/Source/Http/server.cpp
@@ -22,15 +22,16 @@
 
 namespace {
 
-constexpr std::size_t streamBlockBytes = 4U << 10U; ///< allocated for each stream
+constexpr std::size_t streamBlockBytes = 4U << 10U; ///< size of the buffer that libmicrohttpd allocates for each stream
 constexpr Base::Duration sweepPeriod = std::chrono::seconds(1);
 constexpr int watchedEventsPerCall = 64;
-/// Runs of libmicrohttpd in one turn of the loop. If it still has buffered input, it runs again in the next turn.
-constexpr int maxRunsPerTurn = 4;
+/// Limit on the calls of MHD_run in one turn of the loop. If libmicrohttpd still has buffered input, it runs again in the next
+/// turn.
+constexpr int maxLibraryRunsPerTurn = 4;
 
 class MhdServer;
 
-/// An exchange on a libmicrohttpd connection. libmicrohttpd keeps its address as the state of the request.
+/// An exchange on a libmicrohttpd connection. libmicrohttpd stores the exchange's address in the state pointer of the request.
 class MhdExchange : public Exchange, public std::enable_shared_from_this<MhdExchange>
 {
 public:
@@ -65,19 +66,20 @@
     void onDrained(std::size_t lowMark, Task task) override
     {
         m_lowMark = lowMark;
-        m_drained = std::move(task);
+        m_onDrained = std::move(task);
     }
 
     void onClosed(Task task) override
     {
-        m_closed = std::move(task);
+        m_onClosed = std::move(task);
     }
 
     // The members below are for MhdServer only.
     MHD_Result queueResponse();
     ssize_t readBytes(char *target, std::size_t room);
     void callerDisconnected();
-    void requestCompleted();
+    /// Called when libmicrohttpd has finished with the request, whether or not the response was sent completely.
+    void requestFinished();
     void suspend();
     void resume();
 
@@ -99,8 +101,8 @@
     bool m_finished = false;
     bool m_aborted = false;
     bool m_suspended = false;
-    Task m_drained;
-    Task m_closed;
+    Task m_onDrained;
+    Task m_onClosed;
 };
 
 /// Implements the server with libmicrohttpd.
@@ -150,13 +152,13 @@
         return m_openExchanges.size();
     }
 
-    bool closesAfterResponses() const
+    bool shouldCloseConnections() const
     {
         return m_closeAfterResponses;
     }
 
-    /// Schedules a run of libmicrohttpd for the next turn of the loop. It has no thread of its own, so nothing else makes it
-    /// handle a resumed connection.
+    /// Schedules a run of libmicrohttpd for the next turn of the loop. libmicrohttpd has no thread of its own, so nothing else
+    /// makes it handle a resumed connection.
     void scheduleRun();
     /// Starts watching whether the caller closes its connection.
     void watch(const std::shared_ptr<MhdExchange> &exchange);
@@ -165,7 +167,7 @@
 private:
     static MHD_Result access(void *self, MHD_Connection *connection, const char *url, const char *method, const char *version,
                              const char *data, std::size_t *size, void **state);
-    static void completed(void *self, MHD_Connection *connection, void **state, MHD_RequestTerminationCode code);
+    static void onRequestFinished(void *self, MHD_Connection *connection, void **state, MHD_RequestTerminationCode code);
     static void *storeTarget(void *self, const char *target, MHD_Connection *connection);
     static MHD_Result storeHeader(void *exchange, MHD_ValueKind kind, const char *name, const char *value);
     static MHD_Result storeArgument(void *exchange, MHD_ValueKind kind, const char *name, const char *value);
@@ -225,7 +227,7 @@
     return static_cast<MhdExchange *>(exchange)->readBytes(target, room);
 }
 
-// --- LibraryExchange
+// --- MhdExchange
 
 void MhdExchange::suspend()
 {
@@ -308,7 +310,7 @@
     // The pointer stays valid as long as libmicrohttpd calls readStream for the response.
     m_queuedResponse = response;
     addHeaders(response, m_response.headers);
-    if (m_server.closesAfterResponses()) {
+    if (m_server.shouldCloseConnections()) {
         MHD_add_response_header(response, MHD_HTTP_HEADER_CONNECTION, "close");
     }
     const MHD_Result result = MHD_queue_response(m_connection, static_cast<unsigned int>(m_response.status), response);
@@ -340,8 +342,8 @@
     }
     if (m_overLowMark && buffered() <= m_lowMark) {
         m_overLowMark = false;
-        if (m_drained) {
-            m_drained();
+        if (m_onDrained) {
+            m_onDrained();
         }
     }
     return static_cast<ssize_t>(size);
@@ -349,24 +351,24 @@
 
 void MhdExchange::callerDisconnected()
 {
-    if (const Task closed = std::exchange(m_closed, nullptr)) {
+    if (const Task closed = std::exchange(m_onClosed, nullptr)) {
         closed();
     }
     abort();
 }
 
-void MhdExchange::requestCompleted()
+void MhdExchange::requestFinished()
 {
     m_state = State::Ended;
     m_connection = nullptr;
-    m_drained = nullptr;
-    const Task closed = std::exchange(m_closed, nullptr);
+    m_onDrained = nullptr;
+    const Task closed = std::exchange(m_onClosed, nullptr);
     if (closed && !m_finished) {
         closed();
     }
 }
 
-// --- LibraryServer
+// --- MhdServer
 
 MhdServer::~MhdServer()
 {
@@ -396,7 +398,7 @@
     const auto idleSeconds = static_cast<unsigned int>(std::chrono::duration_cast<std::chrono::seconds>(m_limits.idle).count());
     m_daemon = MHD_start_daemon(
         MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, address.port, nullptr, nullptr, &MhdServer::access, this, MHD_OPTION_SOCK_ADDR,
-        &socketAddress, MHD_OPTION_NOTIFY_COMPLETED, &MhdServer::completed, this, MHD_OPTION_CONNECTION_LIMIT,
+        &socketAddress, MHD_OPTION_NOTIFY_COMPLETED, &MhdServer::onRequestFinished, this, MHD_OPTION_CONNECTION_LIMIT,
         static_cast<unsigned int>(m_limits.connections), MHD_OPTION_CONNECTION_TIMEOUT, idleSeconds,
         MHD_OPTION_CONNECTION_MEMORY_LIMIT, static_cast<std::size_t>(m_limits.headerBytes + streamBlockBytes),
         MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_URI_LOG_CALLBACK, &MhdServer::storeTarget, this, MHD_OPTION_END);
@@ -419,7 +421,7 @@
 {
     // If libmicrohttpd has buffered input of a connection, no descriptor becomes readable. A timeout of zero indicates this.
     MHD_UNSIGNED_LONG_LONG timeout = 0;
-    for (int runs = 0; runs < maxRunsPerTurn; ++runs) {
+    for (int runs = 0; runs < maxLibraryRunsPerTurn; ++runs) {
         MHD_run(m_daemon);
         if (MHD_get_timeout(m_daemon, &timeout) != MHD_YES || timeout > 0) {
             return;
@@ -592,7 +594,7 @@
     return server.receive(exchange, data, size);
 }
 
-void MhdServer::completed(void *self, MHD_Connection *connection, void **state, MHD_RequestTerminationCode)
+void MhdServer::onRequestFinished(void *self, MHD_Connection *connection, void **state, MHD_RequestTerminationCode)
 {
     auto &server = *static_cast<MhdServer *>(self);
     server.m_targets.erase(connection);
@@ -603,7 +605,7 @@
     const auto exchange = entry->second;
     server.m_openExchanges.erase(entry);
     server.unwatch(*exchange);
-    exchange->requestCompleted();
+    exchange->requestFinished();
     *state = nullptr;
 }
 
--- a/Source/Http/server.h
+++ b/Source/Http/server.h
@@ -21,8 +21,8 @@
 /// Limits on callers' connections and requests.
 struct ServerLimits
 {
-    std::size_t connections = 4096; ///< open at the same time
-    std::size_t bodyBytes = 4U << 20U; ///< of a request's body
+    std::size_t connections = 4096; ///< maximum number of open connections
+    std::size_t bodyBytes = 4U << 20U; ///< maximum size of a request's body
     std::size_t headerBytes = 16U << 10U; ///< memory for the head of a request
     Base::Duration idle = std::chrono::seconds(60); ///< timeout without traffic, unless a response is pending
     Base::Duration receive = std::chrono::seconds(30); ///< time limit for receiving the body, from the end of the request's head
@@ -63,7 +63,8 @@
     /// Sets a callback that is called whenever buffered() falls to @p lowMark after it was above it.
     virtual void onDrained(std::size_t lowMark, Task task) = 0;
 
-    /// Sets a callback that is called once if the caller closes the connection (or half of it) before the end of the response.
+    /// Sets a callback that is called once if the caller closes the connection, or shuts down its sending side, before the end of
+    /// the response.
     virtual void onClosed(Task task) = 0;
 };
 
--- a/Source/Relay/call.h
+++ b/Source/Relay/call.h
@@ -4,8 +4,10 @@
 /// @file
 /// The events and commands that the relay's thread and the daemon's main thread exchange.
 ///
-/// The relay's thread carries the data. The main thread decides which endpoint runs a request, and when; its part that keeps the
-/// state of this host's requests is the home (Request::Home).
+/// The relay's thread carries the data. The main thread decides which endpoint runs a request, and when; it includes
+/// Request::Home, which keeps the state of the requests that this host accepted.
+///
+/// The id of a call and the id of its request are the same number. A Run carries it as the `request` part of its AttemptId.
 
 #pragma once
 
@@ -36,7 +38,7 @@
     std::string bodyDigest; ///< SHA-256 of method, path and body, only if there is an idempotency key
     bool waitForRun = false; ///< whether the request has the header `Prefer: wait`
     std::optional<Http::Request> fullRequest; ///< copy of the request, only if there is an idempotency key
-    bool forwarded = false; ///< whether another host forwarded the request
+    bool forwarded = false; ///< whether another host forwarded the request; see Adopt
     std::string host; ///< value of the Host header in lower case, without the port
     std::string model; ///< name of the requested model, may be empty
     std::uint32_t promptTokens = 0;
@@ -45,7 +47,7 @@
     std::vector<std::uint32_t> prefixTokens; ///< number of prompt tokens up to the end of each entry of prefix; may be empty
     std::string callerRequestId; ///< the caller's id for the request, for logs; empty if the protocol has none
     bool streams = false; ///< whether the caller requests a streamed response
-    std::uint64_t work = 0; ///< hash of method, path, query and body: equal for all attempts of the same work, at any host
+    std::uint64_t work = 0; ///< hash of method, path, query and body: equal whenever a caller repeats the request, at any host
     Base::Duration timeLeft {}; ///< how long the caller will wait; zero if the request does not say
     absl::Status error; ///< not OK if the request is invalid for its path or protocol
 };
@@ -63,7 +65,9 @@
     std::optional<Http::Response> response;
 };
 
-/// Reports that an endpoint has started a request. The sign is the first token, or the response itself if it has no tokens.
+/// Reports that an endpoint has started a request: when the first token or, without a stream, the response is received.
+///
+/// It is also sent after a failed run if the endpoint may have started the request.
 ///
 /// It is sent only if RelayOptions::reportRunStarts is set.
 struct RunStarted
@@ -96,21 +100,22 @@
 /// Sends the kept request to an endpoint and passes the endpoint's response on to the caller.
 struct Run
 {
-    Peer::AttemptId id;
+    Peer::AttemptId id; ///< the request and the number of the attempt that this run executes
     std::string requestName; ///< unique in the fleet
     std::string callerRequestId; ///< the caller's id for the request, empty if the protocol has none
     std::string address; ///< the endpoint's ip:port
     std::string endpoint; ///< the endpoint's name
     std::uint32_t endpointNumber = 0;
-    std::string keeper; ///< address of an endpoint that caches a prefix of the prompt, for this one to fetch; may be empty
+    std::string keeper; ///< address of another endpoint from which the run's endpoint may fetch the cached prefix of the prompt;
+                        ///< may be empty
     std::string organisation; ///< the caller's organisation, may be empty
     std::string path;
-    bool engine = true; ///< whether the endpoint is an engine with OpenAI-style responses; otherwise it is a plain service
-    int priority = 0; ///< rank of the request's tier, for the engine's own queue
+    bool engine = true; ///< whether the endpoint is an engine; otherwise it is a service, which runs no model
+    int priority = 0; ///< rank of the request's tier (1 is the highest), for the engine's own queue
     bool repeatable = true; ///< whether the request may run more than once
     bool reportRate = false; ///< whether to send EndpointAdvertised also if the response advertises no rate
     bool reportResponse = false; ///< whether to report the complete response, for later requests with the same idempotency key
-    std::string operationKey; ///< idempotency key that is sent to the endpoint, may be empty
+    std::string operationKey; ///< the caller's idempotency key, sent to the endpoint; may be empty
     std::string fence; ///< fencing token for endpoints that check the order of runs, may be empty
     Base::Instant startBy {}; ///< time after which the run must not be started
     Base::Instant deadline {}; ///< time by which the response must be complete, for protocols that send it to endpoints
@@ -119,18 +124,19 @@
 /// Ends a call with a response that does not come from an endpoint, usually an error.
 struct Respond
 {
-    std::uint64_t id = 0;
+    std::uint64_t id = 0; ///< id of the call
     Http::Response response;
     bool preferEndpointResponse = false; ///< whether to send the last endpoint's complete error response instead, if there is one
 };
 
-/// Cancels a run and closes its connection. No RunEnded follows.
+/// Cancels the current run of a call and closes the connection to the endpoint. No RunEnded follows.
 struct Stop
 {
-    std::uint64_t id = 0;
+    std::uint64_t id = 0; ///< id of the call
 };
 
-/// Starts a call for a request that another host forwarded. The response is returned as AdoptedResponse.
+/// Starts a call for a request that another host forwarded. The call has no caller's connection here; its response is returned
+/// as AdoptedResponse.
 struct Adopt
 {
     std::uint64_t token = 0; ///< returned with the response
--- a/Source/Relay/eventsplitter.cpp
+++ b/Source/Relay/eventsplitter.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::string_view doneMarker = "[DONE]";
 
-/// Returns the length of the first complete event in @p text, including its blank line, or npos if there is none. The blank line
-/// is searched from @p from on. Lines may end in "\n" or "\r\n".
+/// Returns the length of the first complete event in @p text, including its blank line, or npos if there is none.
+/// Searches for the blank line from position @p from on. Lines may end in "\n" or "\r\n".
 std::size_t eventLength(std::string_view text, std::size_t from)
 {
     for (std::size_t position = text.find('\n', from); position != std::string_view::npos;
--- a/Source/Relay/openaiprotocol.cpp
+++ b/Source/Relay/openaiprotocol.cpp
@@ -108,7 +108,7 @@
 
 Request::EndpointAdvertisement OpenAiProtocol::advertisement(const Run &run, const ResponseHead &head) const
 {
-    // A service's application may send 429 to a single caller, so only an engine's 429 says something about the endpoint.
+    // A service may send 429 to limit a single caller. Only an engine's 429 means that the endpoint rejects runs.
     const bool rejected = head.status == httpUnavailable || (run.engine && head.status == httpTooManyRequests);
     return {Rate::parseAdvertisedRate(Http::headerValue(head.headers, advertisedRateHeader)),
             Availability::parseAdvertisedAvailability({Http::headerValue(head.headers, leavingHeader),
--- a/Source/Relay/openaiprotocol.h
+++ b/Source/Relay/openaiprotocol.h
@@ -2,7 +2,8 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// The relay protocol for OpenAI-style completions and for plain services. docs/CALLERS.md describes it for callers.
+/// The relay protocol for OpenAI-style completions by engines, and for services, which run no model. docs/CALLERS.md describes it
+/// for callers.
 
 #pragma once
 
--- a/Source/Relay/protocol.h
+++ b/Source/Relay/protocol.h
@@ -37,14 +37,14 @@
 /// classifies endpoints' responses. `State` is what the protocol keeps of a request, in addition to the request's bytes.
 template<typename P>
 concept Protocol
-    = requires(const P protocol, typename P::State &state, const typename P::State &constant, const Http::Request &request,
+    = requires(const P protocol, typename P::State &state, const typename P::State &constState, const Http::Request &request,
                CallArrived &event, const Run &run, const ResponseHead &head, const std::string &lastEventId) {
           /// Parses the request and fills in the event's fields.
           protocol.describeRequest(request, state, event);
           /// Returns the request to send to the endpoint. @p lastEventId is the id of the last event sent to the caller; it is
           /// empty before the first event.
           {
-              protocol.buildTransfer(constant, request, run, lastEventId)
+              protocol.buildTransfer(constState, request, run, lastEventId)
           } -> std::same_as<Http::Transfer>;
           /// Returns a request to the same endpoint for the remaining events of an interrupted stream, or nothing if the protocol
           /// cannot resume streams.
@@ -76,8 +76,8 @@
           {
               P::closeEndsBody
           } -> std::convertible_to<bool>;
-          /// Whether a stream carries its outcome: in a trailer, or in an error event if it fails. Otherwise the connection is
-          /// closed when a stream fails.
+          /// Whether a stream to the caller reports the outcome of the request: in a trailer if the request completed, or in an
+          /// error event if it failed. Otherwise the connection is closed if the request fails.
           {
               P::streamCarriesOutcome
           } -> std::convertible_to<bool>;
--- a/Source/Relay/relay.h
+++ b/Source/Relay/relay.h
@@ -36,8 +36,8 @@
     std::atomic<std::uint64_t> runs = 0; ///< runs started at endpoints
     std::atomic<std::uint64_t> resumes = 0; ///< interrupted streams that were requested again from their endpoint
     std::atomic<std::uint64_t> events = 0; ///< server-sent events passed on
-    std::atomic<std::uint64_t> open = 0; ///< calls in progress
-    std::atomic<std::uint64_t> unsent = 0; ///< requests whose responses have not been passed to the kernel completely
+    std::atomic<std::uint64_t> open = 0; ///< calls received completely and not yet ended
+    std::atomic<std::uint64_t> unsent = 0; ///< requests, also incomplete ones, whose responses have not been sent to the kernel
     std::atomic<std::int64_t> processorMicroseconds = 0; ///< processor time of the relay's thread
 };
 
--- a/Source/Relay/relaythread.h
+++ b/Source/Relay/relaythread.h
@@ -28,8 +28,8 @@
 
 /// Number of times an interrupted stream is resumed at its endpoint. After that, the run fails.
 inline constexpr int maxResumes = 3;
-/// Free memory is returned to the system only after a peak of more open calls than this; a smaller peak leaves too little to
-/// return.
+/// Free memory is returned to the system (malloc_trim) only after a peak of more open calls than this. After a smaller peak,
+/// there is too little free memory to return.
 inline constexpr std::size_t minCallsToTrim = 200;
 /// Size limit of one event. A longer one fails its run.
 inline constexpr std::size_t maxEventBytes = 1U << 20U;
@@ -123,7 +123,7 @@
         ResponseKind kind = ResponseKind::Failed;
         EventSplitter splitter;
         std::string body; ///< body of a response that is not a stream, or events of a stream that is to be reported
-        bool bodyTooLarge = false; ///< whether the response exceeded the size limit; the kept body is then incomplete
+        bool bodyTooLarge = false; ///< whether a response that is not a stream exceeded the limit in appendToBody()
         bool lastEventReceived = false; ///< whether the marked last event has been received
         bool paused = false; ///< whether reading from the endpoint is paused because the caller reads slowly
         int resumeCount = 0;
@@ -177,7 +177,7 @@
         }
     }
 
-    // --- Events from callers
+    // --- Requests from callers
 
     void requestReceived(const std::shared_ptr<Http::Exchange> &exchange, bool forwarded = false)
     {
@@ -219,8 +219,7 @@
             return;
         }
         if (call->run.reportResponse) {
-            // The run of an operation with an idempotency key continues, because its caller may ask for the response again with
-            // the key.
+            // The run continues: the request has an idempotency key, so its caller may ask for the response again with the key.
             m_handler(CallerDisconnected {id});
             return;
         }
@@ -248,7 +247,8 @@
     {
         Call *call = find(run.id.request);
         if (call == nullptr) {
-            // The caller disconnected while the command was queued. The home must still be notified that nothing runs.
+            // The caller disconnected while the command was queued. Request::Home must still be notified that
+            // no run was started.
             Request::RunReport report {.id = run.id, .stage = Request::RunStage::Stale, .callerDisconnected = true};
             m_handler(RunEnded {report, std::nullopt});
             return;
@@ -349,7 +349,7 @@
     }
 
     /// Sends EndpointAdvertised if the response advertises something about its endpoint. This happens before any part of the
-    /// response is sent to the caller, so the home always has at least the information that the caller has.
+    /// response is sent to the caller, so Request::Home always has at least the information that the caller has.
     void reportAdvertisement(const Call &call)
     {
         if (call.kind == ResponseKind::EndpointReplaced) {
@@ -381,7 +381,8 @@
         }
     }
 
-    /// Appends @p bytes to the kept body, or marks the body as too large.
+    /// Appends @p bytes to the body of a response that is not a stream, or marks the body as too large. The limit is the larger
+    /// of the limits for reported responses and for requests' bodies.
     void appendToBody(Call &call, std::string_view bytes)
     {
         const bool fits
@@ -440,7 +441,8 @@
         call.lastTokenAt = now;
     }
 
-    /// Sends the head of the stream to the caller. Reading from the endpoint resumes when the caller has read most of the buffer.
+    /// Sends the head of the stream to the caller. If reading from the endpoint is paused, it
+    /// continues when the caller has read most of the buffer.
     void startResponseStream(Call &call)
     {
         call.responseStarted = true;
@@ -455,7 +457,8 @@
         });
     }
 
-    /// Ends the run, or resumes its stream, depending on how far the transfer got and on the kind of response.
+    /// Ends the run, or requests the remaining events of its stream, depending on how far the transfer got and on the kind of
+    /// response. RunStage::Sent is reported for every failure after which the endpoint may have run the request.
     void transferEnded(Call &call, const Http::TransferResult &result)
     {
         const bool closedComplete = P::closeEndsBody && result.stage == Http::TransferStage::Closed;
@@ -534,6 +537,7 @@
     void completeBody(Call &call)
     {
         reportRunStart(call, call.startedAt);
+        // A response that is not a stream is reported as one token.
         if (call.tokens == 0) {
             call.tokens = 1;
             call.firstTokenAt = Base::now();
