--- a/Tests/Integration/recordsplatform.py
+++ b/Tests/Integration/recordsplatform.py
@@ -293,7 +293,7 @@
     def __init__(self, binaries, platforms, more=""):
         count = len(platforms)
         self.directory = tempfile.mkdtemp(prefix="yokepond-records-")
-        ports = [localfleet.free_ports(3) for _ in range(count)]
+        ports = [localfleet.reserve_ports(3) for _ in range(count)]
         seeds = ", ".join(f"127.0.0.1:{entry[2]}" for entry in ports)
         self.callers = [f"127.0.0.1:{entry[0]}" for entry in ports]
         self.operators = [f"127.0.0.1:{entry[1]}" for entry in ports]
--- a/Tests/Integration/test_ports.py
+++ b/Tests/Integration/test_ports.py
@@ -11,7 +11,7 @@
 import sys
 sys.path.insert(0, {str(TOP / "Utilities")!r})
 import localfleet
-print(*localfleet.free_ports(400), flush=True)
+print(*localfleet.reserve_ports(400), flush=True)
 sys.stdin.readline()
 """
 
--- a/Utilities/bench.py
+++ b/Utilities/bench.py
@@ -2,8 +2,8 @@
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
 """Measures the data path of one host.
 
-latency: the same load at the same time through the host and straight to the engine; the difference is what the host adds.
-events:  many open streams through one host; processor time of the host for each event, and its memory.
+latency: sends the same load through the host and directly to the engine at the same time; the difference is the latency that the host adds.
+events:  opens many streams through one host; measures the host's processor time per event and its memory.
 """
 
 import argparse
@@ -23,11 +23,11 @@
     scenario = directory / f"{name}.ini"
     text = capacity.SCENARIO.format(duration=int(seconds * 1000), rate=rate, tokens=tokens).replace("warm-up-ms = 0", "warm-up-ms = 2000")
     scenario.write_text(text)
-    access = dict(fleet.data)
+    targets = dict(fleet.data)
     if direct:
-        access["hosts"] = [{"caller": entry["address"]} for entry in fleet.data["endpoints"] if entry["kind"] == "engine"]
+        targets["hosts"] = [{"caller": entry["address"]} for entry in fleet.data["endpoints"] if entry["kind"] == "engine"]
     path = directory / f"{name}.json"
-    path.write_text(json.dumps(access))
+    path.write_text(json.dumps(targets))
     report = directory / f"{name}-report.json"
     command = [localfleet.TOP / "build/bin/yokepond-load", "--scenario", scenario, "--fleet", path, "--label", name, "--json", report, "--seed", "7" if direct else "8"]
     process = subprocess.Popen([str(entry) for entry in command], stdout=subprocess.PIPE, text=True)
@@ -41,41 +41,41 @@
 
 
 def latency():
-    print("\nlatency: 200 requests/s through one host, 200/s straight to the same engine at the same time")
+    print("\nlatency: 200 requests/s through one host, 200/s directly to the same engine at the same time")
     options = ["--hosts", 1, "--engines", 1, "--services", 1, "--slots", 1000, "--engine-option=--decode-base-us=1000", "--engine-option=--decode-per-run-us=0",
                "--engine-option=--prefill-per-token-us=0"]
-    with capacity.Running(*options) as fleet:
+    with capacity.RunningFleet(*options) as fleet:
         runs = [load(fleet, "direct", 200, 4, 12, direct=True), load(fleet, "through", 200, 4, 12)]
         direct, through = [result(*run) for run in runs]
-    for part in ("p50", "p99"):
-        one, other = direct["first-token-ms"][part], through["first-token-ms"][part]
-        print(f"first event {part}: direct {one:.2f} ms, through the host {other:.2f} ms, added {other - one:.2f} ms, ratio {other / one:.2f}")
+    for percentile in ("p50", "p99"):
+        one, other = direct["first-token-ms"][percentile], through["first-token-ms"][percentile]
+        print(f"first event {percentile}: direct {one:.2f} ms, through the host {other:.2f} ms, added {other - one:.2f} ms, ratio {other / one:.2f}")
 
 
 def events():
     print("\nevents: 2,000 streams through one host, 20 events/s each")
     options = ["--hosts", 1, "--engines", 4, "--services", 1, "--slots", 600, "--engine-option=--decode-base-us=50000", "--engine-option=--decode-per-run-us=0",
                "--engine-option=--prefill-per-token-us=1"]
-    with capacity.Running(*options) as fleet:
+    with capacity.RunningFleet(*options) as fleet:
         host = fleet.hosts[0]
-        empty = capacity.resident_megabytes(host["pid"])
+        megabytes_before = capacity.resident_megabytes(host["pid"])
         runs = [load(fleet, f"streams-{index}", 100, 600, 10) for index in range(4)]
         time.sleep(12)
         before, begin = capacity.metrics(host), time.monotonic()
         time.sleep(8)
-        after, passed = capacity.metrics(host), time.monotonic() - begin
-        full = capacity.resident_megabytes(host["pid"])
+        after, elapsed = capacity.metrics(host), time.monotonic() - begin
+        megabytes_with_streams = capacity.resident_megabytes(host["pid"])
         for process, _ in runs:
             process.terminate()
             process.wait()
         time.sleep(5)
-        left = capacity.resident_megabytes(host["pid"])
+        megabytes_after = capacity.resident_megabytes(host["pid"])
     relayed = after["yokepond_events_relayed_total{}"] - before["yokepond_events_relayed_total{}"]
     data = 'yokepond_processor_seconds_total{role="data"}'
     used = after[data] - before[data]
-    print(f"open streams {after['yokepond_open_calls{}']:.0f}, events/s {relayed / passed:.0f}, relay thread {used / passed * 100:.1f} % of a core, "
-          f"{used / relayed * 1e6:.2f} us an event, so {relayed / used:.0f} events/s a core")
-    print(f"resident memory: {empty:.1f} MB before, {full:.1f} MB with the streams, {left:.1f} MB after them")
+    print(f"open streams {after['yokepond_open_calls{}']:.0f}, events/s {relayed / elapsed:.0f}, relay thread {used / elapsed * 100:.1f} % of a core, "
+          f"{used / relayed * 1e6:.2f} us per event, so {relayed / used:.0f} events/s per core")
+    print(f"resident memory: {megabytes_before:.1f} MB before, {megabytes_with_streams:.1f} MB with the streams, {megabytes_after:.1f} MB after them")
 
 
 def main():
--- a/Utilities/bench.sh
+++ b/Utilities/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-3-Clause
-# Measures the data path: added time to the first event against a direct call in the same run, and the cost of events.
+# Measures the data path: the time that a host adds to the first event compared with direct requests in the same run, and the cost per event.
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
 "$top/Utilities/build.sh" "$top/build"
--- a/Utilities/build.sh
+++ b/Utilities/build.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-3-Clause
-# Configures and builds: build.sh [DIRECTORY [CMAKE OPTION...]]
+# Installs missing packages, configures and builds: build.sh [DIRECTORY [CMAKE OPTION...]]
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
 directory=${1:-$top/build}
--- a/Utilities/capacity.py
+++ b/Utilities/capacity.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""Measures slopes: what one more host, request, endpoint, organisation, stream or change costs a daemon.
+"""Measures how the cost of a daemon grows with the number of hosts, requests, endpoints, organisations, streams and changes.
 
-Processor time comes from each thread's own accounting, memory from the resident size, bytes from counters on the peer
-links. Every figure is told with its points, the fitted line and the standard error of its slope.
+Processor time comes from the daemon's counters per thread, memory from the resident size, bytes from the counters of the peer
+connections. Each figure is printed with its points, the fitted line and the standard error of the slope.
 """
 
 import argparse
@@ -18,9 +18,9 @@
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent))
 import localfleet  # noqa: E402
 
-SETTLE_SECONDS = 4
-WINDOW_SECONDS = 8
-MOST_MEMORY_SHARE = 0.5
+SETTLE_SECONDS = 4  # wait after the start of a fleet before a measurement
+WINDOW_SECONDS = 8  # duration of a measurement
+MAX_MEMORY_SHARE = 0.5  # share of the machine's memory above which the sweep over fleet sizes fails
 
 
 def memory_used_share():
@@ -45,20 +45,20 @@
 
 
 def fit(points):
-    """Least squares line through (x, y) points: intercept, slope, and the slope's standard error."""
+    """Fits a line to (x, y) points by least squares; returns intercept, slope and the standard error of the slope."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    variation = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / variation
     intercept = mean_y - slope * mean_x
     residual = sum((y - intercept - slope * x) ** 2 for x, y in points)
-    error = math.sqrt(residual / (count - 2) / spread) if count > 2 else float("nan")
+    error = math.sqrt(residual / (count - 2) / variation) if count > 2 else float("nan")
     return {"intercept": intercept, "slope": slope, "error": error}
 
 
-class Running:
-    """A fleet for one point of a sweep."""
+class RunningFleet:
+    """A local fleet that runs while its context is entered; each point of a sweep has its own."""
 
     def __init__(self, *arguments):
         self.directory = tempfile.TemporaryDirectory()
@@ -76,21 +76,21 @@
 
     def command(self, text):
         headers = {"Authorization": f"Bearer {self.data['operatorKey']}", "Yokepond-Wait": "yes"}
-        status, answer = localfleet.call(self.hosts[0]["operator"], "/command", text, headers, 60)
-        assert status == 200, answer
-        return json.loads(answer)
+        status, response = localfleet.call(self.hosts[0]["operator"], "/command", text, headers, 60)
+        assert status == 200, response
+        return json.loads(response)
 
-    def over(self, seconds):
-        """Means a host over a window: rates of the counters, and the resident size at its end."""
+    def measure(self, seconds):
+        """Measures for some seconds; returns the means over the hosts: rates of the counters, and the resident size at the end."""
         before = [metrics(host) for host in self.hosts]
         begin = time.monotonic()
         time.sleep(seconds)
         after = [metrics(host) for host in self.hosts]
-        passed = time.monotonic() - begin
+        elapsed = time.monotonic() - begin
         count = len(self.hosts)
 
         def rate(name):
-            return sum(late.get(name, 0) - early.get(name, 0) for early, late in zip(before, after)) / passed / count
+            return sum(late.get(name, 0) - early.get(name, 0) for early, late in zip(before, after)) / elapsed / count
 
         core = {role: rate(f'yokepond_processor_seconds_total{{role="{role}"}}') * 100 for role in ("decisions", "peers", "data")}
         return {
@@ -109,11 +109,11 @@
 def sweep_hosts(sizes=(4, 8, 16, 32, 64)):
     rows = []
     for size in sizes:
-        with Running("--hosts", size, "--engines", 1, "--services", 1, "--poll-ms", 500) as fleet:
-            # News of the starts is spread for a time that grows with the fleet.
+        with RunningFleet("--hosts", size, "--engines", 1, "--services", 1, "--poll-ms", 500) as fleet:
+            # The gossip about the starts goes on for a time that grows with the fleet.
             time.sleep(SETTLE_SECONDS + size / 2)
-            rows.append({"x": size, **fleet.over(WINDOW_SECONDS)})
-            assert memory_used_share() < MOST_MEMORY_SHARE
+            rows.append({"x": size, **fleet.measure(WINDOW_SECONDS)})
+            assert memory_used_share() < MAX_MEMORY_SHARE
     return {"of": "hosts in the fleet, idle", "rows": rows, "fits": ["control-percent", "sent-bytes", "resident-mb", "store-reads"]}
 
 
@@ -140,14 +140,14 @@
 
 
 def sweep_requests(rates=(0, 50, 100, 200, 400)):
-    """Eight hosts and sixteen fast engines; the figures are a host's, the rate is a host's share."""
+    """Uses eight hosts and sixteen fast engines; all figures, also the request rate, are per host."""
     rows = []
     for rate in rates:
-        with Running("--hosts", 8, "--engines", 16, "--services", 1, "--slots", 16, "--speed", 4, "--poll-ms", 500) as fleet:
+        with RunningFleet("--hosts", 8, "--engines", 16, "--services", 1, "--slots", 16, "--speed", 4, "--poll-ms", 500) as fleet:
             time.sleep(2)
             load = start_load(fleet, rate, 8, WINDOW_SECONDS + 4) if rate else None
             time.sleep(2)
-            rows.append({"x": rate / 8, **fleet.over(WINDOW_SECONDS)})
+            rows.append({"x": rate / 8, **fleet.measure(WINDOW_SECONDS)})
             if load:
                 print(load.communicate()[0], file=sys.stderr)
     return {"of": "requests a second a host, 8 hosts", "rows": rows, "fits": ["control-percent", "decisions-percent", "peers-percent", "data-percent", "sent-bytes"]}
@@ -156,36 +156,36 @@
 def sweep_endpoints(counts=(0, 600, 2400, 4800)):
     rows = []
     for count in counts:
-        with Running("--hosts", 4, "--engines", 1, "--services", 1, "--poll-ms", 500) as fleet:
+        with RunningFleet("--hosts", 4, "--engines", 1, "--services", 1, "--poll-ms", 500) as fleet:
             for begin in range(0, count, 600):
-                # Addresses where nothing listens; nothing is sent there.
+                # Nothing listens at these addresses; the endpoints are drained, so no run is sent to them.
                 lines = [f"create endpoint x{index} pool drafting address 127.1.{index // 250}.{index % 250 + 1}:9 data-centre lisbon-{'abc'[index % 3]} drained yes"
                          for index in range(begin, min(count, begin + 600))]
                 fleet.command("\n".join(lines))
             time.sleep(SETTLE_SECONDS)
-            rows.append({"x": count, **fleet.over(WINDOW_SECONDS)})
+            rows.append({"x": count, **fleet.measure(WINDOW_SECONDS)})
     return {"of": "endpoints configured", "rows": rows, "fits": ["control-percent", "resident-mb"]}
 
 
 def sweep_organisations(counts=(0, 300, 940)):
     rows = []
     for count in counts:
-        with Running("--hosts", 4, "--engines", 1, "--services", 1, "--organisations", count, "--poll-ms", 500) as fleet:
+        with RunningFleet("--hosts", 4, "--engines", 1, "--services", 1, "--organisations", count, "--poll-ms", 500) as fleet:
             time.sleep(SETTLE_SECONDS)
-            rows.append({"x": count, **fleet.over(WINDOW_SECONDS)})
+            rows.append({"x": count, **fleet.measure(WINDOW_SECONDS)})
     return {"of": "organisations configured", "rows": rows, "fits": ["control-percent", "resident-mb"]}
 
 
 def sweep_streams(counts=(0, 500, 1000, 2000)):
-    """Open streams on one host, an event a stream every half second."""
+    """Opens streams on one host; each sends an event every half second."""
     rows = []
     for count in counts:
-        with Running("--hosts", 1, "--engines", 4, "--services", 1, "--slots", 600, "--engine-option=--decode-base-us=500000",
+        with RunningFleet("--hosts", 1, "--engines", 4, "--services", 1, "--slots", 600, "--engine-option=--decode-base-us=500000",
                      "--engine-option=--decode-per-run-us=0", "--engine-option=--prefill-per-token-us=1") as fleet:
             load = start_load(fleet, count / 5, 1000, 5) if count else None
             time.sleep(9)
-            row = {"x": metrics(fleet.hosts[0])["yokepond_open_calls{}"], **fleet.over(WINDOW_SECONDS)}
-            # The figures are of open streams only if they are still open.
+            row = {"x": metrics(fleet.hosts[0])["yokepond_open_calls{}"], **fleet.measure(WINDOW_SECONDS)}
+            # The figures describe this number of open streams only if the streams are still open at the end.
             row["open-at-end"] = metrics(fleet.hosts[0])["yokepond_open_calls{}"]
             rows.append(row)
             if load:
@@ -197,25 +197,25 @@
 
 
 def sweep_changes(sizes=(4, 8, 16, 32)):
-    """The time until a change is in force on all hosts, and the bytes it costs a host."""
+    """Measures the time until a change is applied on all hosts, and the bytes that a host sends for it."""
     rows = []
     for size in sizes:
-        with Running("--hosts", size, "--engines", 1, "--services", 1, "--poll-ms", 500) as fleet:
+        with RunningFleet("--hosts", size, "--engines", 1, "--services", 1, "--poll-ms", 500) as fleet:
             time.sleep(SETTLE_SECONDS)
-            idle = fleet.over(5)["sent-bytes"]
+            idle = fleet.measure(5)["sent-bytes"]
             before = [metrics(host)['yokepond_peer_bytes_total{direction="sent"}'] for host in fleet.hosts]
             begin = time.monotonic()
             times = []
             for index in range(20):
                 start = time.monotonic()
-                answer = fleet.command(f"create tier sweep-{index} rank {50 + index}")
-                assert answer["behind"] == [], answer
+                response = fleet.command(f"create tier sweep-{index} rank {50 + index}")
+                assert response["behind"] == [], response
                 times.append((time.monotonic() - start) * 1000)
-            passed = time.monotonic() - begin
+            elapsed = time.monotonic() - begin
             after = [metrics(host)['yokepond_peer_bytes_total{direction="sent"}'] for host in fleet.hosts]
-            spent = sum(late - early for early, late in zip(before, after)) / size - idle * passed
+            bytes_sent = sum(late - early for early, late in zip(before, after)) / size - idle * elapsed
             times.sort()
-            rows.append({"x": size, "in-force-ms": times[10], "in-force-most-ms": times[-1], "bytes-a-change": spent / 20})
+            rows.append({"x": size, "in-force-ms": times[10], "in-force-most-ms": times[-1], "bytes-a-change": bytes_sent / 20})
     return {"of": "hosts in the fleet, 20 changes", "rows": rows, "fits": ["in-force-ms", "bytes-a-change"]}
 
 
@@ -243,14 +243,14 @@
     for index, (name, sweep, column) in enumerate(charts):
         left, top = width * (index % per_row), height * (index // per_row)
         points = [(row["x"], row[column]) for row in sweep["rows"]]
-        most_x, most_y = max(x for x, _ in points) or 1, max(max(y for _, y in points), 1e-9) * 1.1
-        place = lambda x, y: (left + margin + x / most_x * (width - 1.5 * margin), top + height - margin + -y / most_y * (height - 2 * margin))
+        max_x, max_y = max(x for x, _ in points) or 1, max(max(y for _, y in points), 1e-9) * 1.1
+        to_pixels = lambda x, y: (left + margin + x / max_x * (width - 1.5 * margin), top + height - margin + -y / max_y * (height - 2 * margin))
         line = sweep["lines"][column]
-        ends = [place(x, min(most_y, max(0, line["intercept"] + line["slope"] * x))) for x in (0, most_x)]
+        ends = [to_pixels(x, min(max_y, max(0, line["intercept"] + line["slope"] * x))) for x in (0, max_x)]
         svg += f'<text x="{left + margin}" y="{top + 18}">{column} by {sweep["of"]}</text>\n'
         svg += f'<line x1="{ends[0][0]:.1f}" y1="{ends[0][1]:.1f}" x2="{ends[1][0]:.1f}" y2="{ends[1][1]:.1f}" stroke="#1b6ca8"/>\n'
-        svg += "".join(f'<circle cx="{place(x, y)[0]:.1f}" cy="{place(x, y)[1]:.1f}" r="3" fill="#c0392b"/>\n' for x, y in points)
-        svg += f'<text x="{left + 4}" y="{top + 36}">{most_y:.3g}</text><text x="{left + width - margin}" y="{top + height - margin + 16}">{most_x:g}</text>\n'
+        svg += "".join(f'<circle cx="{to_pixels(x, y)[0]:.1f}" cy="{to_pixels(x, y)[1]:.1f}" r="3" fill="#c0392b"/>\n' for x, y in points)
+        svg += f'<text x="{left + 4}" y="{top + 36}">{max_y:.3g}</text><text x="{left + width - margin}" y="{top + height - margin + 16}">{max_x:g}</text>\n'
     return svg + "</svg>\n"
 
 
--- a/Utilities/capacity.sh
+++ b/Utilities/capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-3-Clause
-# Measures what a host costs by fleet size, load, endpoints, organisations and open streams; see docs/CAPACITY.md.
+# Measures how the cost of a host grows with fleet size, load, endpoints, organisations, open streams and changes; see docs/CAPACITY.md.
 #   capacity.sh [--out DIRECTORY] [--only hosts,requests,endpoints,organisations,streams,changes]
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
--- a/Utilities/demo.sh
+++ b/Utilities/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-3-Clause
-# Installs, builds, starts a local fleet, streams one answer through it, asks why, and stops everything.
+# Installs packages, builds, starts a local fleet, streams one response through it, queries the trace of the request and stops the fleet.
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
 "$top/Utilities/build.sh" "$top/build"
@@ -19,10 +19,10 @@
 export YOKEPOND_HOST YOKEPOND_KEY
 tool="$top/build/bin/yokepond"
 
-echo "== a streamed answer through $caller"
+echo "== a streamed response through $caller"
 curl -sSN --fail -D "$directory/head" "http://$caller/v1/chat/completions" -H "Authorization: Bearer $key" -H 'Yokepond-Class: bulletin' \
-  -d '{"messages":[{"role":"user","content":"The Tejo rises at Santarem."}],"stream":true,"max_tokens":5}' | tee "$directory/answer"
-grep -q '^data: \[DONE\]' "$directory/answer"
+  -d '{"messages":[{"role":"user","content":"The Tejo rises at Santarem."}],"stream":true,"max_tokens":5}' | tee "$directory/response"
+grep -q '^data: \[DONE\]' "$directory/response"
 request=$(tr -d '\r' < "$directory/head" | awk 'tolower($1) == "yokepond-request:" {print $2}')
 
 echo "== yokepond query 'show hosts'"
@@ -31,7 +31,7 @@
 "$tool" query "why request $request" | tee "$directory/why"
 grep -q completed "$directory/why"
 
-echo "== a call that may run only once, sent twice with one ticket"
+echo "== an operation that must run at most once, sent twice with one ticket"
 ticket=$(curl -sS --fail -X POST "http://$caller/v1/tickets" -H "Authorization: Bearer $key" | jq -r .ticket)
 for host in 0 2; do
   curl -sS --fail "http://$(jq -r ".hosts[$host].caller" "$fleet")/v1/services/warnings/issue" -H "Authorization: Bearer $key" \
--- a/Utilities/experiment.py
+++ b/Utilities/experiment.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""Runs one scenario under several policies, the same arrivals each time, each on a fresh fleet, and prints the reports.
+"""Runs one scenario under several policies, with the same arrivals and a new fleet each time, and prints the reports.
 
 experiment.py --scenario Utilities/scenarios/storm-front.ini --site cheia --hosts 8 --engines 36 --factors 1,3 --policies tiered,fifo
 """
@@ -15,7 +15,7 @@
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent))
 import localfleet  # noqa: E402
 
-# Each policy is a set of settings; what is not named has the default.
+# Each policy is a set of settings; settings that it does not name keep their defaults.
 POLICIES = {
     "default": {},
     "fifo": {"order": "fifo", "placement": "round-robin", "window": "fixed", "eject-slow": "no", "hopeless-shedding": "no"},
@@ -46,8 +46,8 @@
         statements = "\n".join(f"create setting {name} value {value}" for name, value in POLICIES[policy].items())
         if statements:
             headers = {"Authorization": f"Bearer {fleet['operatorKey']}", "Yokepond-Wait": "yes"}
-            status, answer = localfleet.call(fleet["hosts"][0]["operator"], "/command", statements, headers)
-            assert status == 200, answer
+            status, response = localfleet.call(fleet["hosts"][0]["operator"], "/command", statements, headers)
+            assert status == 200, response
         bytes_before = fleet_metric(fleet, 'yokepond_peer_bytes_total{direction="sent"}')
         report = pathlib.Path(directory) / "report.json"
         command = [programs / "yokepond-load", "--scenario", options.scenario, "--fleet", pathlib.Path(directory) / "fleet.json", "--seed", str(options.seed)]
--- a/Utilities/format.sh
+++ b/Utilities/format.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-3-Clause
-# Formats all sources, or with --check only tells which are not formatted and fails.
+# Formats all sources. With --check, changes nothing, lists the sources that are not formatted and fails if there are any.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mode=(-i)
--- a/Utilities/install-packages.sh
+++ b/Utilities/install-packages.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-3-Clause
-# Installs the packages of packages.txt that are missing. Needs root only if there are any.
+# Installs the packages listed in packages.txt that are missing. Needs root only if a package is missing.
 set -euo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
 mapfile -t wanted < <(grep -v '^#' "$here/packages.txt")
--- a/Utilities/knownred.py
+++ b/Utilities/knownred.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""Runs a CppUTest program, passing over exactly the tests that KNOWN-RED.txt names.
+"""Runs a CppUTest program and tolerates the failures of exactly the tests that KNOWN-RED.txt lists.
 
-A line of the list that begins `test GROUP.NAME:` names a test that fails for a fault that is not mended yet. All other tests must
-pass. A listed one must fail as long as it is listed: one that passes fails the run, so that its line is taken out.
+A line that begins with `test GROUP.NAME:` lists a test that fails because of a known fault. All other tests must pass. A listed test
+must fail: if it passes, the run fails, so that its line gets removed from the list.
 
 Usage: knownred.py [--list FILE] PROGRAM [ARGUMENT...]
 """
@@ -21,8 +21,8 @@
 SUMMARY = re.compile(r"^(OK|Errors) \(", re.MULTILINE)
 
 
-def listed(path):
-    """The tests that @p path names, with the rest of their lines."""
+def read_list(path):
+    """Returns the listed tests and, for each, the text after the colon."""
     tests = {}
     with open(path, encoding="utf-8") as lines:
         for line in lines:
@@ -41,22 +41,22 @@
     parser.add_argument("arguments", nargs=argparse.REMAINDER)
     options = parser.parse_args()
     names = subprocess.run([options.program, "-ln"], capture_output=True, text=True, check=True).stdout.split()
-    red = {name: cause for name, cause in listed(options.list).items() if name in names}
+    known_failures = {name: cause for name, cause in read_list(options.list).items() if name in names}
     run = subprocess.run([options.program, *options.arguments], capture_output=True, text=True, check=False)
     print(run.stdout, run.stderr, sep="\n", flush=True)
     failing = {f"{match[1]}.{match[2]}" for match in FAILURE.finditer(run.stdout)}
-    failed = bool(failing - set(red))
-    for name in sorted(failing - set(red)):
+    failed = bool(failing - set(known_failures))
+    for name in sorted(failing - set(known_failures)):
         print(f"failed: {name}")
-    # A program that ends before its summary, or fails without naming a test, has not run them all.
+    # A program that exits before its summary, or fails without naming a failed test, may not have run all tests.
     if SUMMARY.search(run.stdout) is None or (run.returncode != 0 and not failing):
-        print(f"the program ended otherwise than by its tests, with {run.returncode}")
+        print(f"the program did not finish its tests: exit code {run.returncode}")
         failed = True
-    for name, cause in red.items():
+    for name, cause in known_failures.items():
         if name in failing:
             print(f"known red: {name}: {cause}")
         else:
-            print(f"known red: {name} did not fail: take its line out of KNOWN-RED.txt")
+            print(f"known red: {name} did not fail: remove its line from KNOWN-RED.txt")
             failed = True
     return 1 if failed else 0
 
--- a/Utilities/localfleet.py
+++ b/Utilities/localfleet.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""Starts and stops a fleet of real processes on this machine, for users, checks, tests and measurements.
+"""Starts and stops a fleet of real processes on this machine, for users, tests and measurements.
 
-Writes fleet.json into the directory given; its form is described in docs/LOCALFLEET.md.
+Writes fleet.json into the given directory; docs/LOCALFLEET.md describes its format.
 """
 
 import argparse
@@ -58,18 +58,21 @@
 OPERATOR_KEY = "operator-key-for-tests"
 TICKET_SECRET = "ticket-secret-for-tests-only"
 
-# Below those that Linux gives to outgoing connections (ip_local_port_range).
+# Below the range that Linux uses for outgoing connections (ip_local_port_range).
 FIRST_PORT, LAST_PORT = 15000, 32000
-HELD_PORTS = []  # locks, until this process ends
+PORT_LOCKS = []  # lock files of the reserved ports, kept open until this process exits
 
 
-def free_ports(count):
-    """Ports that no other fleet is about to use, and that the system gives to no outgoing connection: between the moment that a
-    port is found free and that in which a host listens there, or listens again, either could take it."""
-    return [take_port() for _ in range(count)]
+def reserve_ports(count):
+    """Reserves ports for this process and returns them.
 
+    A lock file keeps other fleets from taking a port, and the range keeps outgoing connections from it. Otherwise either could take the
+    port before a host listens on it, or between two starts of the host.
+    """
+    return [reserve_port() for _ in range(count)]
 
-def take_port():
+
+def reserve_port():
     while True:
         port = random.randrange(FIRST_PORT, LAST_PORT)
         locks = os.path.join(tempfile.gettempdir(), "yokepond-ports")
@@ -83,21 +86,23 @@
         except OSError:
             lock.close()
             continue
-        HELD_PORTS.append(lock)
+        PORT_LOCKS.append(lock)
         return port
 
 
 def call(address, path, body=None, headers=None, timeout=10):
+    """Sends a POST request if there is a body, otherwise a GET request; returns status and body, also of an error response."""
     data = body.encode() if isinstance(body, str) else body
     request = urllib.request.Request(f"http://{address}{path}", data=data, headers=headers or {})
     try:
-        with urllib.request.urlopen(request, timeout=timeout) as answer:
-            return answer.status, answer.read().decode()
+        with urllib.request.urlopen(request, timeout=timeout) as response:
+            return response.status, response.read().decode()
     except urllib.error.HTTPError as error:
         return error.code, error.read().decode()
 
 
 def wait_until(check, what, seconds=20):
+    """Polls @p check until it returns true; exits with an error that names @p what after @p seconds."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         try:
@@ -144,16 +149,16 @@
 """
 
 
-def configuration(site, endpoints, organisations_extra):
+def configuration(site, endpoints, extra_organisations):
     lines = [f"create tier {name} rank {rank}" for name, rank in site["tiers"]]
     lines.append(f"create pool {site['enginePool']} kind engine model {site['model']}")
     lines.append(f"create pool {site['servicePool']} kind service")
-    for name, tier, pool, repeatable, rest in site["classes"]:
-        lines.append(f"create class {name} tier {tier} pool {pool} repeatable {repeatable} {rest}")
+    for name, tier, pool, repeatable, parameters in site["classes"]:
+        lines.append(f"create class {name} tier {tier} pool {pool} repeatable {repeatable} {parameters}")
     for name, weight, default in site["organisations"]:
         lines.append(f"create organisation {name} key key-of-{name} weight {weight} default-class {default}")
     first = site["organisations"][0][2]
-    lines += [f"create organisation extra-{index} key key-of-extra-{index} default-class {first}" for index in range(organisations_extra)]
+    lines += [f"create organisation extra-{index} key key-of-extra-{index} default-class {first}" for index in range(extra_organisations)]
     for entry in endpoints:
         lines.append(
             f"create endpoint {entry['name']} pool {entry['pool']} address {entry['route']} data-centre {entry['dataCentre']} "
@@ -163,7 +168,7 @@
 
 
 def listens(address):
-    """Whether something takes connections at @p address."""
+    """Returns whether @p address accepts connections."""
     host, port = address.split(":")
     try:
         with socket.create_connection((host, int(port)), timeout=1):
@@ -178,9 +183,9 @@
     directory.mkdir(parents=True, exist_ok=True)
     programs = pathlib.Path(options.bin)
     proxied = options.engines + options.services + 2 * options.hosts + 1 if options.proxy else 0
-    ports = iter(free_ports(1 + options.engines + options.services + 3 * options.hosts + proxied))
+    ports = iter(reserve_ports(1 + options.engines + options.services + 3 * options.hosts + proxied))
     address = lambda: f"127.0.0.1:{next(ports)}"
-    centres = site["dataCentres"]
+    data_centres = site["dataCentres"]
     fleet = {
         "site": options.site,
         "hosts": [],
@@ -194,12 +199,12 @@
     routes = []
 
     def through_proxy(name, target):
-        """The address to use in place of target: a route of the fault proxy if there is one."""
+        """Returns the address to use in place of target: a new route of the fault proxy with --proxy, otherwise target itself."""
         if not options.proxy:
             return target
-        where = address()
-        routes.append(f"{name}={where}={target}")
-        return where
+        listen_address = address()
+        routes.append(f"{name}={listen_address}={target}")
+        return listen_address
 
     def save():
         (directory / "fleet.json").write_text(json.dumps(fleet, indent=1))
@@ -209,28 +214,28 @@
     fleet["platform"] = {"address": platform, "pid": process.pid}
     save()
     for index in range(options.engines):
-        name, where = f"e{index + 1}", address()
+        name, listen_address = f"e{index + 1}", address()
         process = start(
-            [programs / "yokepond-standin-engine", "--listen", where, "--name", name, "--seed", options.seed + index, "--speed", options.speed,
+            [programs / "yokepond-standin-engine", "--listen", listen_address, "--name", name, "--seed", options.seed + index, "--speed", options.speed,
              "--slots", options.slots, "--run-log", directory / f"{name}.log"] + options.engine_option,
             directory / f"{name}.err",
         )
-        fleet["endpoints"].append({"name": name, "kind": "engine", "pool": site["enginePool"], "address": where, "pid": process.pid,
-                                   "route": through_proxy(name, where),
-                                   "dataCentre": centres[index % len(centres)], "slots": options.slots})
+        fleet["endpoints"].append({"name": name, "kind": "engine", "pool": site["enginePool"], "address": listen_address, "pid": process.pid,
+                                   "route": through_proxy(name, listen_address),
+                                   "dataCentre": data_centres[index % len(data_centres)], "slots": options.slots})
         save()
     for index in range(options.services):
-        name, where = f"s{index + 1}", address()
+        name, listen_address = f"s{index + 1}", address()
         checks = index % 2 == 1
-        arguments = [programs / "yokepond-standin-service", "--listen", where, "--name", name, "--run-log", directory / f"{name}.log"]
+        arguments = [programs / "yokepond-standin-service", "--listen", listen_address, "--name", name, "--run-log", directory / f"{name}.log"]
         process = start(arguments + (["--checks-orders"] if checks else []), directory / f"{name}.err")
-        fleet["endpoints"].append({"name": name, "kind": "service", "pool": site["servicePool"], "address": where, "pid": process.pid,
-                                   "route": through_proxy(name, where),
-                                   "dataCentre": centres[index % len(centres)], "slots": 32, "checks": checks})
+        fleet["endpoints"].append({"name": name, "kind": "service", "pool": site["servicePool"], "address": listen_address, "pid": process.pid,
+                                   "route": through_proxy(name, listen_address),
+                                   "dataCentre": data_centres[index % len(data_centres)], "slots": 32, "checks": checks})
         save()
     for index in range(options.hosts):
         name, listen = f"h{index + 1}", address()
-        host = {"name": name, "dataCentre": centres[index % len(centres)], "caller": address(), "operator": address(), "peerListen": listen}
+        host = {"name": name, "dataCentre": data_centres[index % len(data_centres)], "caller": address(), "operator": address(), "peerListen": listen}
         host["peer"] = through_proxy(f"peer-{name}", listen)
         host["store"] = through_proxy(f"store-{name}", platform)
         fleet["hosts"].append(host)
@@ -240,7 +245,7 @@
         process = start(arguments + [part for route in routes for part in ("--route", route)], directory / "proxy.err")
         fleet["proxy"] = {"address": control, "pid": process.pid}
         save()
-        wait_until(lambda: call(control, "/")[0] == 200, "the proxy's start")
+        wait_until(lambda: call(control, "/")[0] == 200, "start of the fault proxy")
     seeds = [host["peer"] for host in fleet["hosts"][:3]]
     for host in fleet["hosts"]:
         settings = directory / f"{host['name']}.ini"
@@ -248,30 +253,31 @@
         host["pid"] = start([programs / "yokepondd", "--config", settings], directory / f"{host['name']}.err").pid
         host["settings"] = str(settings)
         save()
-    wait_until(lambda: call(platform, "/counts")[0] == 200, "the platform's start")
-    # An endpoint that does not listen yet fails its first runs, and one that is being probed gets one run at a time.
+    wait_until(lambda: call(platform, "/counts")[0] == 200, "start of the platform")
+    # Waits for the endpoints, because one that does not listen yet fails its first runs and then gets one run at a time while it is probed.
     for endpoint in fleet["endpoints"]:
-        wait_until(lambda endpoint=endpoint: listens(endpoint["address"]), f"the start of {endpoint['name']}")
+        wait_until(lambda endpoint=endpoint: listens(endpoint["address"]), f"start of {endpoint['name']}")
     listed = [{"name": host["name"], "address": host["peer"], "role": "router", "state": "live"} for host in fleet["hosts"]]
     call(platform, "/hosts", json.dumps(listed))
     first = fleet["hosts"][0]["operator"]
     headers = {"Authorization": f"Bearer {OPERATOR_KEY}", "Yokepond-Reason": "localfleet"}
     wait_until(lambda: call(first, "/readyz")[0] == 200, "readiness of the first host")
-    status, answer = call(first, "/command", configuration(site, fleet["endpoints"], options.organisations), headers)
+    status, response = call(first, "/command", configuration(site, fleet["endpoints"], options.organisations), headers)
     if status != 200:
-        raise SystemExit(f"localfleet: the configuration was rejected: {answer}")
-    revision = json.loads(answer)["revision"]
+        raise SystemExit(f"localfleet: the configuration was rejected: {response}")
+    revision = json.loads(response)["revision"]
     for host in fleet["hosts"]:
-        wait_until(lambda: f"yokepond_configuration_revision{{}} {revision}" in call(host["operator"], "/metrics")[1], f"the configuration at {host['name']}")
+        wait_until(lambda: f"yokepond_configuration_revision{{}} {revision}" in call(host["operator"], "/metrics")[1], f"application of the configuration at {host['name']}")
 
-    def members_known():
-        answers = [json.loads(call(host["operator"], "/query", "show hosts where state = alive", headers)[1]) for host in fleet["hosts"]]
-        return all(len(answer["rows"]) == options.hosts for answer in answers)
+    def members_agree():
+        responses = [json.loads(call(host["operator"], "/query", "show hosts where state = alive", headers)[1]) for host in fleet["hosts"]]
+        return all(len(response["rows"]) == options.hosts for response in responses)
 
-    wait_until(members_known, "agreement on the members", 60)
+    wait_until(members_agree, "agreement of the hosts on the members", 60)
 
 
 def alive(pid):
+    """Returns whether the process runs; reaps it if it is an exited child."""
     try:
         os.waitpid(pid, os.WNOHANG)
     except ChildProcessError:
@@ -293,7 +299,7 @@
     pids = [entry["pid"] for entry in fleet["hosts"] + fleet["endpoints"] + others if entry.get("pid")]
     for pid in pids:
         if alive(pid):
-            # A stopped process takes no signal but these two.
+            # A process paused by SIGSTOP handles SIGTERM only after SIGCONT.
             os.kill(pid, signal.SIGTERM)
             os.kill(pid, signal.SIGCONT)
     end = time.monotonic() + 2
@@ -316,14 +322,14 @@
     starting.add_argument("--site", choices=sorted(SITES), default="cheia")
     starting.add_argument("--bin", default=str(TOP / "build" / "bin"), help="directory of the programs")
     starting.add_argument("--seed", type=int, default=1)
-    starting.add_argument("--speed", type=float, default=1.0, help="how much faster than real time the engines run")
-    starting.add_argument("--slots", type=int, default=8, help="of each engine")
-    starting.add_argument("--organisations", type=int, default=0, help="organisations besides the site's own")
+    starting.add_argument("--speed", type=float, default=1.0, help="speed of the engines relative to real time")
+    starting.add_argument("--slots", type=int, default=8, help="concurrency limit of each engine")
+    starting.add_argument("--organisations", type=int, default=0, help="number of organisations in addition to those of the site")
     starting.add_argument("--poll-ms", type=int, default=200)
-    starting.add_argument("--period-ms", type=int, default=400, help="membership period")
+    starting.add_argument("--period-ms", type=int, default=400, help="period of the membership protocol in milliseconds")
     starting.add_argument("--balancer-lag-ms", type=int, default=300)
     starting.add_argument("--proxy", action="store_true", help="put the fault proxy between hosts, endpoints and the platform")
-    starting.add_argument("--engine-option", action="append", default=[], help="passed on to each engine")
+    starting.add_argument("--engine-option", action="append", default=[], help="option passed to each engine")
     ending = verbs.add_parser("down", help="stop a fleet")
     ending.add_argument("--dir", required=True)
     return parser.parse_args(arguments)
--- a/Utilities/test.sh
+++ b/Utilities/test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: BSD-3-Clause
-# Installs, builds and runs all tests, with AddressSanitizer and UndefinedBehaviorSanitizer, and the fuzz targets for a fixed
-# number of runs.
+# Installs packages, builds, and runs all tests with AddressSanitizer and UndefinedBehaviorSanitizer, and each fuzz target for a
+# fixed number of runs.
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
 directory=${1:-$top/build-test}
--- a/Utilities/tidy.sh
+++ b/Utilities/tidy.sh
@@ -3,7 +3,7 @@
 # Runs the linter over all sources: tidy.sh [BUILD DIRECTORY]
 #
 # Clang 16 cannot compile the distribution's Cap'n Proto headers as C++20 (it follows P2468 for ==), and Clang 14 cannot compile
-# the standard library's views; no file needs both, so that each is linted by the one that can.
+# the standard library's views. No file needs both, so each file is linted by the version that can compile it.
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
 cd "$top"
