--- a/Tests/Integration/fleet.py
+++ b/Tests/Integration/fleet.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""A fleet of real processes for one test, and calls to it."""
+"""Starts a fleet of real processes for one test, sends it requests and injects faults."""
 
 import argparse
 import http.client
@@ -20,8 +20,8 @@
 import localfleet  # noqa: E402
 
 
-class Answer:
-    """What a caller was told; status 0 if the connection broke before an answer."""
+class Response:
+    """The HTTP response to a request; status 0 if the connection broke before the response was complete."""
 
     def __init__(self, status, headers, body):
         self.status = status
@@ -47,25 +47,27 @@
     connection = http.client.HTTPConnection(address, timeout=timeout)
     try:
         connection.request(method, path, body=body, headers=headers or {})
-        answer = connection.getresponse()
-        return Answer(answer.status, answer.getheaders(), answer.read().decode())
+        response = connection.getresponse()
+        return Response(response.status, response.getheaders(), response.read().decode())
     except (OSError, http.client.HTTPException):
-        return Answer(0, [], "")
+        return Response(0, [], "")
     finally:
         connection.close()
 
 
 class Fleet:
+    """A local fleet that runs while its context is entered; the arguments are those of `localfleet.sh up`."""
+
     def __init__(self, *arguments):
-        options = parse_bin()
+        options = parse_options()
         self.directory = tempfile.mkdtemp(prefix="yokepond-test-")
         self.failed = True
         self.programs = options.bin
-        self.up = localfleet.parse(["up", "--dir", self.directory, "--bin", options.bin, *[str(entry) for entry in arguments]])
+        self.up_options = localfleet.parse(["up", "--dir", self.directory, "--bin", options.bin, *[str(entry) for entry in arguments]])
 
     def __enter__(self):
         try:
-            localfleet.up(self.up)
+            localfleet.up(self.up_options)
         except BaseException:
             self.stop()
             raise
@@ -83,11 +85,12 @@
         shutil.rmtree(self.directory, ignore_errors=True)
 
     def show_logs(self):
+        """Prints the last 25 lines of each host's log."""
         for log in sorted(pathlib.Path(self.directory).glob("h*.err")):
             print(f"--- {log.name}\n" + "\n".join(log.read_text(errors="replace").splitlines()[-25:]), file=sys.stderr)
 
     def log(self, host):
-        """The lines that a host's daemon has logged."""
+        """Returns the log events of a host's daemon; skips lines that are not JSON."""
         lines = (pathlib.Path(self.directory) / f"{host['name']}.err").read_text(errors="replace").splitlines()
         return [json.loads(line) for line in lines if line.startswith("{") and line.endswith("}")]
 
@@ -97,7 +100,7 @@
     def endpoints(self, kind):
         return [endpoint for endpoint in self.data["endpoints"] if endpoint["kind"] == kind]
 
-    # --- as a caller
+    # --- requests of callers
 
     def caller_headers(self, request_class=None, organisation=None, **more):
         organisation = organisation or next(iter(self.data["callerKeys"]))
@@ -112,17 +115,17 @@
         return request(host["caller"], "POST", "/v1/chat/completions", self.caller_headers(request_class, **more), body, timeout)
 
     def ticket(self, host):
-        answer = request(host["caller"], "POST", "/v1/tickets", self.caller_headers())
-        return answer.json()["ticket"]
+        response = request(host["caller"], "POST", "/v1/tickets", self.caller_headers())
+        return response.json()["ticket"]
 
     def operation(self, host, key, body="{}", request_class=None, timeout=30, **more):
-        once = request_class or next(entry["name"] for entry in self.data["classes"] if not entry["repeatable"])
-        pool = next(entry["pool"] for entry in self.data["classes"] if entry["name"] == once)
-        headers = self.caller_headers(once, **more)
+        class_name = request_class or next(entry["name"] for entry in self.data["classes"] if not entry["repeatable"])
+        pool = next(entry["pool"] for entry in self.data["classes"] if entry["name"] == class_name)
+        headers = self.caller_headers(class_name, **more)
         headers["Idempotency-Key"] = key
         return request(host["caller"], "POST", f"/v1/services/{pool}/do", headers, body, timeout)
 
-    # --- as an operator
+    # --- requests of operators
 
     def query(self, statement, host=None):
         headers = {"Authorization": f"Bearer {self.data['operatorKey']}"}
@@ -143,24 +146,24 @@
     def ready(self, host):
         return request(host["operator"], "GET", "/readyz", timeout=5).status == 200
 
-    # --- as fate
+    # --- fault injection
 
-    def faults(self, address, **faults):
+    def set_faults(self, address, **faults):
         body = json.dumps({name.replace("_", "-"): value for name, value in faults.items()})
-        answer = request(address, "POST", "/faults", body=body)
-        assert answer.status == 200, answer.body
+        response = request(address, "POST", "/faults", body=body)
+        assert response.status == 200, response.body
 
-    def break_route(self, name, **faults):
-        """Sets the faults of a route of the proxy; none heals it."""
+    def set_route_faults(self, name, **faults):
+        """Replaces the faults of a route of the fault proxy; without arguments the route works again."""
         body = json.dumps({key.replace("_", "-"): value for key, value in faults.items()})
-        answer = request(self.data["proxy"]["address"], "POST", f"/{name}", body=body)
-        assert answer.status == 200, answer.body
+        response = request(self.data["proxy"]["address"], "POST", f"/{name}", body=body)
+        assert response.status == 200, response.body
 
     def runs(self, endpoint):
         return request(endpoint["address"], "GET", "/runs").json()
 
     def run_counts(self):
-        """Runs by operation key over all services."""
+        """Returns the number of runs by idempotency key, over all services."""
         counts = {}
         for endpoint in self.endpoints("service"):
             for run in self.runs(endpoint):
@@ -172,7 +175,7 @@
 
     def kill(self, host):
         self.signal(host, signal.SIGKILL)
-        wait_until(lambda: not localfleet.alive(host["pid"]), "the end of a killed host")
+        wait_until(lambda: not localfleet.alive(host["pid"]), "exit of a killed host")
 
     def restart(self, host):
         process = localfleet.start([pathlib.Path(self.programs) / "yokepondd", "--config", host["settings"]], pathlib.Path(self.directory) / f"{host['name']}.err")
@@ -183,26 +186,27 @@
     def save(self):
         (pathlib.Path(self.directory) / "fleet.json").write_text(json.dumps(self.data))
 
-    def see(self, name, state, seconds=10, hosts=None):
-        """Waits until all other hosts see a member in a state."""
+    def wait_for_member_state(self, name, state, seconds=10, hosts=None):
+        """Waits until all other hosts list the member in the given state; a member that is not listed counts as dead."""
         others = [host for host in hosts or self.hosts if host["name"] != name]
 
-        def all_see():
+        def all_agree():
             for host in others:
                 rows = {row["name"]: row["state"] for row in self.query("show hosts", host)["rows"]}
                 if rows.get(name, "dead") != state:
                     return False
             return True
 
-        wait_until(all_see, f"{name} {state} everywhere", seconds)
+        wait_until(all_agree, f"{name} {state} everywhere", seconds)
 
-    def no_violations(self):
+    def assert_no_violations(self):
         for host in self.hosts:
             if localfleet.alive(host["pid"]):
                 assert self.dump(host)["invariant-violations"] == 0, host["name"]
 
 
 def wait_until(check, what, seconds=20):
+    """Polls @p check until it returns true; fails with @p what after @p seconds."""
     end = time.monotonic() + seconds
     while not check():
         assert time.monotonic() < end, f"{what} did not happen within {seconds} s"
@@ -210,14 +214,14 @@
 
 
 def in_background(task, *arguments, **named):
-    """Runs a call in a thread; the result is in the list returned when join() has come back."""
+    """Runs a call in a thread. Returns the thread and a list that holds the result after join()."""
     results = []
     thread = threading.Thread(target=lambda: results.append(task(*arguments, **named)))
     thread.start()
     return thread, results
 
 
-def parse_bin():
+def parse_options():
     parser = argparse.ArgumentParser()
     parser.add_argument("--bin", default=str(TOP / "build" / "bin"))
     parser.add_argument("--seed", type=int, default=1)
@@ -227,7 +231,7 @@
 
 
 def run_tests(namespace):
-    """Runs every function whose name begins with test_, each told on a line."""
+    """Runs every function whose name begins with test_ and prints a line for each."""
     for name, test in list(namespace.items()):
         if name.startswith("test_") and callable(test):
             begin = time.monotonic()
--- a/Tests/Integration/recordsplatform.py
+++ b/Tests/Integration/recordsplatform.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""Stand-ins for the platform that keeps records: its store, its endpoints, and hosts that run on it."""
+"""Stand-ins for the platform with `form = records`: its store, its endpoints and the receiver of duty calls; and daemons that use them."""
 
 import base64
 import json
@@ -18,7 +18,7 @@
 
 
 class QuietServer(ThreadingHTTPServer):
-    """A host that goes away midway is what tests are about, and no error of the stand-in."""
+    """An HTTP server that ignores broken connections, because tests kill hosts in the middle of calls."""
 
     daemon_threads = True
 
@@ -28,7 +28,7 @@
 
 
 class Server:
-    """An HTTP server on a thread of its own; `respond(handler)` answers."""
+    """An HTTP server on a thread of its own. Subclasses handle each request in `respond(handler)`."""
 
     def __init__(self):
         outer = self
@@ -64,18 +64,23 @@
 
 
 class Store(Server):
-    """Rows with versions from one counter, and the feed of their changes. `down`: answers nothing but 503. `swallow`: calls that are
-    there or come meanwhile are never answered, also not when it is over. `slow`: seconds by which each answer comes later."""
+    """The platform's store: rows, versions from one counter, and a long-polling feed of changes.
+
+    `down`: answers every call with 503.
+    `hang`: never responds to calls that are open or arrive while it is set, not even after it is cleared.
+    `delay_seconds`: delay of each response.
+    `closing`: set at the end of a test; releases the calls that hang.
+    """
 
     def __init__(self):
         self.lock = threading.Condition()
         self.rows = {}
         self.version = 0
-        self.oldest = 0
+        self.oldest_version = 0
         self.down = False
-        self.swallow = False
-        self.slow = 0.0
-        self.ended = threading.Event()
+        self.hang = False
+        self.delay_seconds = 0.0
+        self.closing = threading.Event()
         super().__init__()
 
     def put(self, table, key, value):
@@ -91,26 +96,27 @@
             self.rows[(table, key)] = {"table": table, "part": "", "key_file": key, "deleted": True, "schema_version": self.version}
             self.lock.notify_all()
 
-    def forget_history(self):
+    def compact_history(self):
+        """Drops the tombstones and answers feed calls from older versions with 410."""
         with self.lock:
             self.version += 1
-            self.oldest = self.version
+            self.oldest_version = self.version
             self.rows = {key: row for key, row in self.rows.items() if not row.get("deleted")}
             self.lock.notify_all()
 
-    def changed(self, table, since):
+    def changes_since(self, table, since):
         found = [row for (owner, _), row in self.rows.items() if owner == table and row["schema_version"] > since]
         return sorted(found, key=lambda row: row["schema_version"])
 
-    def respond(self, handler, turned_away=lambda: False):
-        time.sleep(self.slow)
+    def respond(self, handler, is_rejected=lambda: False):
+        time.sleep(self.delay_seconds)
         url = urlsplit(handler.path)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
-        if self.swallow:
-            self.never_answer(handler)
+        if self.hang:
+            self.hang_until_closing(handler)
             return
         with self.lock:
-            if self.down or turned_away():
+            if self.down or is_rejected():
                 send(handler, 503, {})
                 return
             if url.path == "/rows-tx":
@@ -118,76 +124,83 @@
                 return
             table = query["table"]
             if url.path == "/rows-get":
-                rows = [row for row in self.changed(table, -1) if not row.get("deleted")]
-                self.answer(handler, {"rows": rows, "has_more": False})
+                rows = [row for row in self.changes_since(table, -1) if not row.get("deleted")]
+                self.send_json(handler, {"rows": rows, "has_more": False})
                 return
             since = int(query["since_revision"])
             until = time.monotonic() + int(query["wait_ms"]) / 1000
-            while not self.changed(table, since) and not self.down and not self.swallow and not turned_away() \
-                    and since >= self.oldest and time.monotonic() < until:
+            while not self.changes_since(table, since) and not self.down and not self.hang and not is_rejected() \
+                    and since >= self.oldest_version and time.monotonic() < until:
                 self.lock.wait(0.05)
-            swallowed = self.swallow
-        if swallowed:
-            self.never_answer(handler)
+            hangs = self.hang
+        if hangs:
+            self.hang_until_closing(handler)
             return
         with self.lock:
-            if self.down or turned_away():
+            if self.down or is_rejected():
                 send(handler, 503, {})
                 return
-            if since < self.oldest:
+            if since < self.oldest_version:
                 send(handler, 410, {})
                 return
-            self.answer(handler, {"rows": self.changed(table, since)})
+            self.send_json(handler, {"rows": self.changes_since(table, since)})
 
     def transact(self, handler, body):
-        """Writes all rows if each expected one has its version."""
+        """Writes all rows if every expected row has the expected version; otherwise answers 412 and the current rows."""
         expected = [(row, self.rows.get((row["table"], row["key_file"]))) for row in body["expected_revision"]]
-        held = [row for _, row in expected if row is not None]
+        current = [row for _, row in expected if row is not None]
         if any((row["schema_version"] if row else 0) != wanted["schema_version"] for wanted, row in expected):
-            answer = {"rows": held, "schema_version": self.version, "now_ms": int(time.monotonic() * 1000)}
-            send(handler, 412, {"Content-Type": "application/json"}, json.dumps(answer).encode())
+            response = {"rows": current, "schema_version": self.version, "now_ms": int(time.monotonic() * 1000)}
+            send(handler, 412, {"Content-Type": "application/json"}, json.dumps(response).encode())
             return
         self.version += 1
         for row in body["write"]:
             self.rows[(row["table"], row["key_file"])] = {**row, "schema_version": self.version}
         self.lock.notify_all()
-        self.answer(handler, {})
+        self.send_json(handler, {})
 
-    def never_answer(self, handler):
-        self.ended.wait()
+    def hang_until_closing(self, handler):
+        self.closing.wait()
         handler.close_connection = True
 
-    def answer(self, handler, body):
+    def send_json(self, handler, body):
         body.update({"schema_version": self.version, "now_ms": int(time.monotonic() * 1000)})
         send(handler, 200, {"Content-Type": "application/json"}, json.dumps(body).encode())
 
 
-class Door(Server):
-    """An address of its own for the store. `closed`: those who come by it are turned away, while the store serves the others.
-    `calls`: those that came by it."""
+class StoreProxy(Server):
+    """A separate address of the store, so that a test can fail the store for one host only.
+
+    `rejecting`: answers 503 at this address while the store serves its other addresses.
+    `calls`: number of calls received at this address.
+    """
 
     def __init__(self, store):
         self.store = store
-        self.closed = False
+        self.rejecting = False
         self.calls = 0
         super().__init__()
 
     def respond(self, handler):
         self.calls += 1
-        self.store.respond(handler, lambda: self.closed)
+        self.store.respond(handler, lambda: self.rejecting)
 
 
-class Duties(Server):
-    """Where duties are done. Takes what comes, and judges it: `broken` lists what the platform forbids. `down`: answers only 503."""
+class DutyReceiver(Server):
+    """Receives the calls of the duties: usage reports at /metering, and orders for endpoints.
+
+    `violations`: calls that the platform forbids, such as an older fence after a newer one, or two holders of one fence.
+    `down`: answers every call with 503.
+    """
 
     def __init__(self):
         self.lock = threading.Lock()
         self.down = False
-        self.reports = {}  # counts by window
-        self.orders = []  # bodies
-        self.holders = []  # of all calls, in order
-        self.fences = {}  # by path: fence, to the holder that used it
-        self.broken = []
+        self.reports = {}  # counts by window id
+        self.orders = []  # bodies of the orders
+        self.holders = []  # holder named by each accepted call, in order
+        self.fences = {}  # path -> fence -> first holder that used it
+        self.violations = []
         super().__init__()
 
     def respond(self, handler):
@@ -197,16 +210,16 @@
         with self.lock:
             used = self.fences.setdefault(handler.path, {})
             if used and fence < max(used):
-                self.broken.append(f"{handler.path}: fence {fence} of {holder} after {max(used)}")
+                self.violations.append(f"{handler.path}: fence {fence} of {holder} after {max(used)}")
             if used.setdefault(fence, holder) != holder:
-                self.broken.append(f"{handler.path}: fence {fence} of {used[fence]} and {holder}")
+                self.violations.append(f"{handler.path}: fence {fence} of {used[fence]} and {holder}")
             if self.down:
                 send(handler, 503, {})
                 return
             self.holders.append(holder)
             if handler.path == "/metering":
                 if self.reports.setdefault(body["window_id"], body["counts"]) != body["counts"]:
-                    self.broken.append(f"window {body['window_id']} reported twice: {body['counts']}")
+                    self.violations.append(f"window {body['window_id']} reported twice: {body['counts']}")
             else:
                 self.orders.append(body)
         send(handler, 200, {})
@@ -216,19 +229,24 @@
             return sum(counts.get(organisation, 0) for counts in self.reports.values())
 
 
-class Runner(Server):
-    """An endpoint. Streams five events; `cut_after`: breaks a new stream off, within the event after so many. `refuse`: turns all away, and
-    asks for `rest` if that is set; `leaving`: says in all its answers that it leaves."""
+class Endpoint(Server):
+    """An endpoint whose streams have five events.
+
+    `cut_after`: number of whole events of a new stream before the connection breaks inside the next event; resumed streams stay whole.
+    `reject`: answers every run with 503, with `retry_after` as Retry-After header if that is set.
+    `leaving`: adds the header Server-Leaving to every response of a run.
+    `unsigned`: leaves out the response signature.
+    """
 
     def __init__(self, name):
         self.name = name
         self.runs = []
-        self.arrivals = []  # names of requests, and when they came
+        self.arrivals = []  # (request name, monotonic time of arrival)
         self.cut_after = None
-        self.refuse = False
-        self.rest = None
+        self.reject = False
+        self.retry_after = None
         self.leaving = False
-        self.refused = 0
+        self.rejected_count = 0
         self.unsigned = False
         super().__init__()
 
@@ -239,15 +257,15 @@
         if handler.headers["X-Expect-Instance"] != self.name:
             send(handler, 421, {"X-Instance-Id": self.name})
             return
-        said = {"Server-Leaving": "1"} if self.leaving else {}
-        if self.refuse:
-            self.refused += 1
-            send(handler, 503, {"X-Not-Executed": "1", **said, **({"Retry-After": self.rest} if self.rest else {})})
+        advertised = {"Server-Leaving": "1"} if self.leaving else {}
+        if self.reject:
+            self.rejected_count += 1
+            send(handler, 503, {"X-Not-Executed": "1", **advertised, **({"Retry-After": self.retry_after} if self.retry_after else {})})
             return
         headers = {name.lower(): value for name, value in handler.headers.items()}
         self.runs.append((handler.command, handler.path, headers, handler.body))
         self.arrivals.append((headers["x-request-id"], time.monotonic()))
-        head = {"X-Request-Id": handler.headers["X-Request-Id"], "X-Response-Signature": "signed-by-" + self.name, **said}
+        head = {"X-Request-Id": handler.headers["X-Request-Id"], "X-Response-Signature": "signed-by-" + self.name, **advertised}
         if self.unsigned:
             del head["X-Response-Signature"]
         if handler.path.startswith("/stream/"):
@@ -288,16 +306,16 @@
 
 
 class Hosts:
-    """A daemon on the store for each of its addresses in `platforms`; `more` is added to their settings."""
+    """Starts one daemon for each store address in `platforms`; `extra_settings` is appended to the settings of each."""
 
-    def __init__(self, binaries, platforms, more=""):
+    def __init__(self, program_directory, platforms, extra_settings=""):
         count = len(platforms)
         self.directory = tempfile.mkdtemp(prefix="yokepond-records-")
         ports = [localfleet.reserve_ports(3) for _ in range(count)]
         seeds = ", ".join(f"127.0.0.1:{entry[2]}" for entry in ports)
         self.callers = [f"127.0.0.1:{entry[0]}" for entry in ports]
         self.operators = [f"127.0.0.1:{entry[1]}" for entry in ports]
-        self.binaries = binaries
+        self.program_directory = program_directory
         self.processes = [None] * count
         for index, (caller, operator, peer) in enumerate(ports):
             settings = os.path.join(self.directory, f"h{index}.ini")
@@ -307,14 +325,14 @@
                            f"[platform]\nform = records\naddress = {platforms[index]}\ntimeout-ms = 1000\n"
                            "[dispatch]\nwhole-pool-shards = yes\nplacement = soonest-first-token\nwindow = fixed\n"
                            "[retries]\nshare = 0.2\nslack = 50\n[stop]\nbalancer-lag-ms = 200\nkilled-after-s = 5\n"
-                           f"[test]\nfatal-invariants = yes\n{more}")
+                           f"[test]\nfatal-invariants = yes\n{extra_settings}")
             self.start(index)
 
     def start(self, index):
-        """Starts a host, or starts it again; its log goes on."""
+        """Starts or restarts a host; a restarted host appends to its log."""
         settings = os.path.join(self.directory, f"h{index}.ini")
         with open(os.path.join(self.directory, f"h{index}.log"), "ab") as log:
-            self.processes[index] = subprocess.Popen([os.path.join(self.binaries, "yokepondd"), "--config", settings], stdout=log, stderr=log)
+            self.processes[index] = subprocess.Popen([os.path.join(self.program_directory, "yokepondd"), "--config", settings], stdout=log, stderr=log)
 
     def ready(self, index):
         try:
@@ -332,11 +350,11 @@
 
     def log(self, index):
         with open(os.path.join(self.directory, f"h{index}.log"), encoding="utf-8") as file:
-            # The last line may not have been written whole yet.
+            # Skips the last line while it is only partly written.
             return [json.loads(line) for line in file if line.endswith("\n")]
 
     def stop(self):
-        """Ends the processes; returns their exit codes."""
+        """Stops the processes with SIGTERM and returns their exit codes."""
         for process in self.processes:
             process.terminate()
         return [process.wait(timeout=20) for process in self.processes]
--- a/Tests/Integration/soakchecks.py
+++ b/Tests/Integration/soakchecks.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""The promises of a fleet, judged from what callers were told and what endpoints ran. Pure: records in, broken promises out.
+"""Checks the guarantees of a fleet against a record of what callers received and what endpoints ran.
 
-Times are seconds on one clock of this machine.
+The checks are pure functions: they take a record and return the violations in it. Times are seconds on this machine's monotonic clock.
 """
 
 import collections
@@ -10,21 +10,21 @@
 
 
 @dataclasses.dataclass
-class Try:
-    """One request of a caller, with a name of its own, and what came back; status 0: the connection ended without an answer."""
+class CallerRequest:
+    """One request of a caller, which has a unique name, and its response; status 0: the connection ended without a response."""
 
     name: str
     path: str
     key: str
     host: int
-    life: int  # of the host's process, counted from 0
+    incarnation: int  # number of starts of the host before the one that received the request
     sent: float
     ended: float
     status: int
-    answered_name: str = ""  # as the answer carries it
+    response_name: str = ""  # request name in the response
     signature: str = ""
     body: bytes = b""
-    whole: bool = True
+    complete: bool = True
 
 
 @dataclasses.dataclass
@@ -35,8 +35,8 @@
 
 
 @dataclasses.dataclass
-class Accepted:
-    """A configuration that the store took at a time: the keys and the paths that it allows."""
+class AcceptedConfiguration:
+    """The keys and paths that a configuration allows, and the time at which the store got it."""
 
     at: float
     keys: frozenset
@@ -47,140 +47,142 @@
 
 
 @dataclasses.dataclass
-class Trouble:
-    """A time within which bounds of time do not hold for a host; host None: for all."""
+class Disturbance:
+    """A period in which time limits are not checked for a host; host None: for all hosts."""
 
     begin: float
     end: float
     host: int | None = None
 
-    def touches(self, host, begin, end):
+    def overlaps(self, host, begin, end):
         return self.host in (None, host) and self.begin <= end and begin <= self.end
 
 
 @dataclasses.dataclass
 class Record:
-    tries: list
+    requests: list
     runs: list
-    configurations: list  # in order of their times
-    leaving: dict  # endpoint: when the store took its word that it leaves
-    troubles: list
-    stops: list  # (host, life, begin, end) of planned stops
-    bound: float = 3.0  # seconds within which a change is known, also the time without trouble after which a host is counted on
+    configurations: list  # ordered by time
+    leaving: dict  # endpoint -> time at which the store got its state `draining`
+    disturbances: list
+    stops: list  # (host, incarnation, begin, end) of planned stops
+    bound: float = 3.0  # seconds within which a host must apply a change; a host must be undisturbed as long before it is checked
 
-    def calm(self, host, begin, end):
-        return not any(trouble.touches(host, begin, end) for trouble in self.troubles)
+    def undisturbed(self, host, begin, end):
+        return not any(disturbance.overlaps(host, begin, end) for disturbance in self.disturbances)
 
 
-NOT_RUN = (408, 421, 429, 503)
-ONCE = ("/once/", "/extra/")  # paths of what may not be repeated
-STOP_MARGIN = 0.2
-REVERT_SLACK = 0.25
+NOT_RUN = (408, 421, 429, 503)  # statuses that say that the request has not run
+ONCE = ("/once/", "/extra/")  # paths of requests that must not run twice
+STOP_MARGIN = 0.2  # seconds before the end of a stop in which new requests are not checked
+REVERT_SLACK = 0.25  # minimum seconds between the end of one request and the start of another that are compared
 
 
-def wrong_answers(record):
-    """A success is whole and the caller's own, from an endpoint that ran it."""
+def wrong_responses(record):
+    """Finds successful responses that are incomplete, belong to another request, or name an endpoint that did not run the request."""
     ran = collections.defaultdict(set)
     for run in record.runs:
         ran[run.name].add(run.endpoint)
-    for entry in record.tries:
+    for entry in record.requests:
         if entry.status == 200:
             endpoint = entry.signature.removeprefix("signed-by-")
-            if entry.answered_name != entry.name or endpoint not in ran[entry.name] or not entry.whole:
-                yield f"{entry.name}: answered as {entry.answered_name} by {entry.signature}, whole {entry.whole}"
+            if entry.response_name != entry.name or endpoint not in ran[entry.name] or not entry.complete:
+                yield f"{entry.name}: response for {entry.response_name}, signature {entry.signature}, complete {entry.complete}"
 
 
-def doubled_runs(record):
-    """What may not be repeated runs at most once."""
-    paths = {entry.name: entry.path for entry in record.tries}
+def duplicate_runs(record):
+    """Finds requests that must not run twice and did."""
+    paths = {entry.name: entry.path for entry in record.requests}
     counts = collections.Counter(run.name for run in record.runs)
     for name, count in counts.items():
         if count > 1 and paths.get(name, "").startswith(ONCE):
             yield f"{name}: ran {count} times"
 
 
-def unasked_runs(record):
-    names = {entry.name for entry in record.tries}
-    yield from (f"{run.name}: ran though nobody sent it" for run in record.runs if run.name not in names)
+def unrequested_runs(record):
+    """Finds runs of requests that no caller sent."""
+    names = {entry.name for entry in record.requests}
+    yield from (f"{run.name}: ran, but no caller sent it" for run in record.runs if run.name not in names)
 
 
 def false_not_run(record):
-    """What was said not to have run has not, also later."""
+    """Finds requests whose status says that they have not run although an endpoint ran them, before or after the response."""
     ran = {run.name for run in record.runs}
-    for entry in record.tries:
+    for entry in record.requests:
         if entry.status in NOT_RUN and entry.path.startswith(ONCE) and entry.name in ran:
-            yield f"{entry.name}: answered {entry.status}, and ran"
+            yield f"{entry.name}: status {entry.status} says that it has not run, but it ran"
 
 
-def contradicts(entry, held):
-    """Whether no configuration of @p held explains the answer."""
+def contradicts(entry, possible):
+    """Whether the response is possible under none of the configurations."""
     if entry.status in (401, 404):
-        return all(accepted.allows(entry) for accepted in held)
-    return entry.status == 200 and not any(accepted.allows(entry) for accepted in held)
+        return all(configuration.allows(entry) for configuration in possible)
+    return entry.status == 200 and not any(configuration.allows(entry) for configuration in possible)
 
 
 def stale_configuration(record):
-    """A host that was calm long enough answers as one of the configurations that may be in force."""
-    for entry in record.tries:
-        known = [accepted for accepted in record.configurations if accepted.at <= entry.sent - record.bound]
-        if not known or not record.calm(entry.host, entry.sent - record.bound, entry.ended):
+    """Finds responses of undisturbed hosts that no configuration explains that may be in force."""
+    for entry in record.requests:
+        applicable = [configuration for configuration in record.configurations if configuration.at <= entry.sent - record.bound]
+        if not applicable or not record.undisturbed(entry.host, entry.sent - record.bound, entry.ended):
             continue
-        later = [accepted for accepted in record.configurations if known[-1].at < accepted.at <= entry.ended]
-        if contradicts(entry, known[-1:] + later):
-            yield f"{entry.name}: host {entry.host} answered {entry.status} as an older configuration says"
+        later = [configuration for configuration in record.configurations if applicable[-1].at < configuration.at <= entry.ended]
+        if contradicts(entry, applicable[-1:] + later):
+            yield f"{entry.name}: host {entry.host} answered {entry.status}, which only an older configuration explains"
 
 
 def reverted_configuration(record):
-    """Within one life of its process a host does not go back behind a configuration that it has shown to hold."""
-    shown = collections.defaultdict(list)  # of a life: when it was shown to hold which
-    for entry in sorted(record.tries, key=lambda entry: entry.ended):
-        life = shown[(entry.host, entry.life)]
-        reached = max((index for at, index in life if at < entry.sent - REVERT_SLACK), default=0)
-        held = [accepted for accepted in record.configurations[reached:] if accepted.at <= entry.ended]
-        if held and contradicts(entry, held):
-            yield f"{entry.name}: host {entry.host} answered {entry.status}, behind what it had shown to hold"
+    """Finds hosts that, without a restart, applied a configuration and then answered by an older one."""
+    # (host, incarnation) -> list of (time, index of the oldest configuration that it can have applied by then)
+    applied_by_host = collections.defaultdict(list)
+    for entry in sorted(record.requests, key=lambda entry: entry.ended):
+        applied = applied_by_host[(entry.host, entry.incarnation)]
+        reached = max((index for at, index in applied if at < entry.sent - REVERT_SLACK), default=0)
+        possible = [configuration for configuration in record.configurations[reached:] if configuration.at <= entry.ended]
+        if possible and contradicts(entry, possible):
+            yield f"{entry.name}: host {entry.host} answered {entry.status} by a configuration older than one that it had applied"
         if entry.status == 200:
-            allowing = [index for index, accepted in enumerate(record.configurations) if accepted.allows(entry)]
-            life.append((entry.ended, min(allowing, default=0)))
+            allowing = [index for index, configuration in enumerate(record.configurations) if configuration.allows(entry)]
+            applied.append((entry.ended, min(allowing, default=0)))
 
 
-def runs_at_leaving(record):
-    """An endpoint that said that it leaves gets nothing new some seconds later, of hosts that were calm."""
-    hosts = {entry.name: entry.host for entry in record.tries}
+def runs_at_leaving_endpoints(record):
+    """Finds runs that undisturbed hosts started at an endpoint more than `bound` seconds after it announced that it leaves."""
+    hosts = {entry.name: entry.host for entry in record.requests}
     for run in record.runs:
-        left = record.leaving.get(run.endpoint)
-        if left is None or run.arrived <= left + record.bound:
+        left_at = record.leaving.get(run.endpoint)
+        if left_at is None or run.arrived <= left_at + record.bound:
             continue
-        if record.calm(hosts.get(run.name), left, run.arrived):
-            yield f"{run.name}: reached {run.endpoint} {run.arrived - left:.1f} s after it had said that it leaves"
+        if record.undisturbed(hosts.get(run.name), left_at, run.arrived):
+            yield f"{run.name}: reached {run.endpoint} {run.arrived - left_at:.1f} s after it had announced that it leaves"
 
 
-def cut_by_stops(record):
-    """A planned stop cuts off nothing that was sent before its end, but for new connections that find nobody."""
-    for host, life, begin, end in record.stops:
-        for entry in record.tries:
+def requests_cut_by_stops(record):
+    """Finds requests that ran and whose connection a planned stop closed without a response."""
+    for host, incarnation, begin, end in record.stops:
+        for entry in record.requests:
             during = begin - 5 < entry.sent < end - STOP_MARGIN and entry.ended > begin
             ran = any(run.name == entry.name for run in record.runs)
-            calm = record.calm(host, entry.sent - record.bound, entry.ended)
-            if (entry.host, entry.life) == (host, life) and during and calm and entry.status == 0 and ran:
+            undisturbed = record.undisturbed(host, entry.sent - record.bound, entry.ended)
+            if (entry.host, entry.incarnation) == (host, incarnation) and during and undisturbed and entry.status == 0 and ran:
                 yield f"{entry.name}: cut off by the planned stop of host {host}"
 
 
-def unserved_classes(record, least=20):
-    """Each kind of request is served in the end."""
+def unserved_paths(record, min_requests=20):
+    """Finds paths with enough allowed requests of which none was served."""
     by_path = collections.defaultdict(list)
-    for entry in record.tries:
+    for entry in record.requests:
         last = record.configurations[-1] if record.configurations else None
         if last is not None and last.allows(entry):
             by_path[entry.path].append(entry.status == 200)
-    yield from (f"{path}: none of {len(served)} served" for path, served in by_path.items() if len(served) >= least and not any(served))
+    yield from (f"{path}: none of {len(served)} served" for path, served in by_path.items() if len(served) >= min_requests and not any(served))
 
 
-CHECKS = (wrong_answers, doubled_runs, unasked_runs, false_not_run, stale_configuration, reverted_configuration, runs_at_leaving,
-          cut_by_stops, unserved_classes)
+CHECKS = (wrong_responses, duplicate_runs, unrequested_runs, false_not_run, stale_configuration, reverted_configuration, runs_at_leaving_endpoints,
+          requests_cut_by_stops, unserved_paths)
 
 
-def broken(record):
-    """All broken promises, by the name of the check."""
+def find_violations(record):
+    """Returns the violations by the name of the check that found them."""
     found = {check.__name__: list(check(record)) for check in CHECKS}
     return {name: entries for name, entries in found.items() if entries}
--- a/Tests/Integration/test_duties.py
+++ b/Tests/Integration/test_duties.py
@@ -1,14 +1,14 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""Duties of one host, by real hosts: usage is reported whole and by one holder at a time, and endpoints are ordered, through a kill of
-the holder, an outage of the store and one of the platform's duties."""
+"""Duties, each held by one host at a time: usage is reported completely and once, and endpoints are ordered, although the holder is
+killed and the store and the receiver of the duty calls have outages."""
 
 import copy
 import hashlib
 import json
 
-from fleet import parse_bin, request, run_tests, wait_until
-from recordsplatform import CONFIGURATION, Duties, Hosts, Runner, Store
+from fleet import parse_options, request, run_tests, wait_until
+from recordsplatform import CONFIGURATION, DutyReceiver, Endpoint, Hosts, Store
 
 HOSTS = 3
 OPERATOR_KEY = "operator-key-for-tests"
@@ -22,19 +22,19 @@
 
 
 def stream(hosts, index, names):
-    """Sends a stream by each name until it is served whole: views of hosts differ for a moment."""
+    """Repeats each named stream until it succeeds, because changes reach the hosts at different times."""
     for name in names:
-        tries = []
+        responses = []
 
-        def good():
-            tries.append(hosts.send(index, "POST", "/stream/x", f"{name}-{len(tries)}"))
-            return tries[-1].status == 200
+        def succeeds():
+            responses.append(hosts.send(index, "POST", "/stream/x", f"{name}-{len(responses)}"))
+            return responses[-1].status == 200
 
-        wait_until(good, f"stream {name} to be served")
+        wait_until(succeeds, f"stream {name} to be served")
 
 
 def duty_rows(hosts):
-    """The rows of `show duties`, of all hosts."""
+    """Returns the rows of `show duties`, which has a row for each host and duty."""
     headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
     return json.loads(request(hosts.operators[0], "POST", "/query", headers, "show duties").body)["rows"]
 
@@ -45,11 +45,11 @@
 
 def test_duties():
     store = Store()
-    duties = Duties()
-    model = Runner("i-m1")
+    duties = DutyReceiver()
+    model = Endpoint("i-m1")
     settings = f"[usage]\naddress = {duties.address}\nwindow-s = 1\nquiet-ms = 2000\n[scaling]\nmode = on\n" \
                f"[operator desk]\nkey-sha256 = {hashlib.sha256(OPERATOR_KEY.encode()).hexdigest()}\n"
-    hosts = Hosts(parse_bin().bin, [store.address] * HOSTS, settings)
+    hosts = Hosts(parse_options().bin, [store.address] * HOSTS, settings)
     try:
         store.put("op", "config", scaled_configuration())
         store.put("servers", model.name, model.row("model"))
@@ -60,17 +60,17 @@
         check_one_holder(hosts)
         check_killed_holder(hosts, duties)
         check_outages(hosts, duties, store)
-        assert not duties.broken, duties.broken
+        assert not duties.violations, duties.violations
         for index in range(HOSTS):
             assert all(entry["event"] != "duty-row-unreadable" for entry in hosts.log(index))
     finally:
-        store.ended.set()
+        store.closing.set()
         for process in hosts.processes:
             process.kill()
 
 
 def check_orders(duties):
-    """As many withdrawable endpoints as were provided, in each data centre: one of two may be withdrawn."""
+    """Each data centre gets an order for one preemptible endpoint, so that one of two can be lost."""
     wait_until(lambda: len(duties.orders) >= 2, "orders")
     ordered = {(order["zone"], order.get("preemptible", False)): order["desired_count"] for order in duties.orders}
     assert ordered == {("a", True): 1, ("b", True): 1}, ordered
@@ -91,7 +91,7 @@
 
 
 def check_killed_holder(hosts, duties):
-    """What the others counted is reported by the successor, also if that is the same host anew."""
+    """The successor of a killed holder, which may be the same host restarted, reports what the other hosts counted."""
     before = duties.total("town")
     holder = holder_index(duties)
     hosts.processes[holder].kill()
@@ -113,7 +113,7 @@
     wait_until(lambda: any(entry["event"] == "usage-report-failed" for index in range(HOSTS) for entry in hosts.log(index)),
                "a report to fail")
     duties.down = False
-    wait_until(lambda: duties.total("town") >= before + 5, "what was counted in the outage to be reported")
+    wait_until(lambda: duties.total("town") >= before + 5, "the usage during the outage to be reported")
     assert duties.total("town") == before + 5, duties.reports
     wait_until(lambda: len(duties.reports) > windows + 3, "windows to be reported again")
 
--- a/Tests/Integration/test_following.py
+++ b/Tests/Integration/test_following.py
@@ -1,16 +1,17 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""Real hosts of which one follows the store for all, and the store turns just that one away.
+"""One host follows the store for all hosts, and the store rejects just that host.
 
-What was seen: requests with new keys were refused by all hosts while the store served most of them. Cause: who follows is picked by
-rank among the hosts that live, and nobody else asked. See docs/incidents/duties-that-their-holders-cannot-do.md.
+Guards against a follower that cannot reach the store and is not replaced: all hosts refused requests with new keys although the store
+served most hosts, because the follower is selected by rank among the live hosts and no other host read the store. See
+docs/incidents/duties-that-their-holders-cannot-do.md.
 """
 
 import copy
 import time
 
-from fleet import parse_bin, run_tests, wait_until
-from recordsplatform import CONFIGURATION, Door, Hosts, Runner, Store
+from fleet import parse_options, run_tests, wait_until
+from recordsplatform import CONFIGURATION, Endpoint, Hosts, Store, StoreProxy
 
 COUNT = 4
 
@@ -21,50 +22,50 @@
     store.put("op", "config", changed)
 
 
-def knows(hosts, index, key, tries):
-    tries.append(key)
-    return hosts.send(index, "POST", "/once/x", f"{key}-{index}-{len(tries)}", key=key).status == 200
+def accepts_key(hosts, index, key, keys_sent):
+    keys_sent.append(key)
+    return hosts.send(index, "POST", "/once/x", f"{key}-{index}-{len(keys_sent)}", key=key).status == 200
 
 
-def wait_until_all_know(hosts, key):
-    tries = []
+def wait_until_all_accept(hosts, key):
+    keys_sent = []
     for index in range(COUNT):
-        wait_until(lambda index=index: knows(hosts, index, key, tries), f"host {index} to know {key}")
+        wait_until(lambda index=index: accepts_key(hosts, index, key, keys_sent), f"host {index} to accept {key}")
 
 
-def following(doors):
-    """The doors that hosts come by within some seconds, longer than a call is held."""
-    before = [door.calls for door in doors]
+def following_hosts(store_proxies):
+    """Returns the indexes of the hosts that call the store within 4 s, which is longer than a long poll lasts."""
+    before = [proxy.calls for proxy in store_proxies]
     time.sleep(4)
-    return [index for index, door in enumerate(doors) if door.calls > before[index]]
+    return [index for index, proxy in enumerate(store_proxies) if proxy.calls > before[index]]
 
 
-def test_a_host_that_is_not_answered_is_replaced():
+def test_rejected_follower_is_replaced():
     store = Store()
-    doors = [Door(store) for _ in range(COUNT)]
-    app = Runner("i-a1")
-    hosts = Hosts(parse_bin().bin, [door.address for door in doors], "[platform]\nfollowers = 1\n")
+    store_proxies = [StoreProxy(store) for _ in range(COUNT)]
+    app = Endpoint("i-a1")
+    hosts = Hosts(parse_options().bin, [proxy.address for proxy in store_proxies], "[platform]\nfollowers = 1\n")
     try:
         store.put("op", "config", CONFIGURATION)
         store.put("servers", app.name, app.row("app"))
         hosts.wait_ready()
         put_key(store, "calm-key")
-        wait_until_all_know(hosts, "calm-key")
-        wait_until(lambda: len(following(doors)) == 1, "one host to follow", 60)
-        follower = following(doors)[0]
-        doors[follower].closed = True
-        put_key(store, "key-while-turned-away")
-        wait_until_all_know(hosts, "key-while-turned-away")
-        asked = [entry["to"] for entry in hosts.log(follower) if entry["event"] == "follow-delegated"]
-        assert asked, "the host that is turned away asks another"
-        doors[follower].closed = False
+        wait_until_all_accept(hosts, "calm-key")
+        wait_until(lambda: len(following_hosts(store_proxies)) == 1, "one host to follow", 60)
+        follower = following_hosts(store_proxies)[0]
+        store_proxies[follower].rejecting = True
+        put_key(store, "key-while-rejected")
+        wait_until_all_accept(hosts, "key-while-rejected")
+        delegates = [entry["to"] for entry in hosts.log(follower) if entry["event"] == "follow-delegated"]
+        assert delegates, "the rejected host did not ask another host to follow"
+        store_proxies[follower].rejecting = False
         put_key(store, "key-after")
-        wait_until_all_know(hosts, "key-after")
-        wait_until(lambda: following(doors) == [follower], "the host that is picked to follow alone again", 60)
+        wait_until_all_accept(hosts, "key-after")
+        wait_until(lambda: following_hosts(store_proxies) == [follower], "the selected host to be the only follower again", 60)
         codes = hosts.stop()
         assert codes == [0] * COUNT, codes
     finally:
-        store.ended.set()
+        store.closing.set()
         for process in hosts.processes:
             process.kill()
 
--- a/Tests/Integration/test_knownred.py
+++ b/Tests/Integration/test_knownred.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""Utilities/knownred.py passes over exactly the listed tests: not over others, nor over listed ones that pass or end otherwise."""
+"""Utilities/knownred.py tolerates failures of exactly the listed tests; other failures, listed tests that pass, and crashes fail the run."""
 
 import argparse
 import os
@@ -10,8 +10,8 @@
 
 TOP = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-# A program with CppUTest's options: tests fail or crash as its file says. Of several names to leave out it leaves out none, as
-# CppUTest does: it runs a test that differs from any of them.
+# A stand-in for a CppUTest program: its tests pass, fail or crash as `tests` says. With several -xsn options it excludes no test, as
+# CppUTest does, which runs every test whose name differs from at least one of them.
 PROGRAM = """#!{python}
 import sys
 tests = {tests!r}
@@ -62,16 +62,16 @@
     check(run({"Group.good": "pass"}, "").returncode == 0, "nothing listed, nothing failed")
     check(run({"Group.good": "pass", "Group.bad": "fail"}, "").returncode != 0, "a failure that is not listed fails")
     passed = run({"Group.good": "pass", "Group.bad": "fail"}, red)
-    check(passed.returncode == 0 and "known red: Group.bad: some cause; issue 1" in passed.stdout, "a listed one is printed")
-    check(run({"Group.other": "fail", "Group.bad": "fail"}, red).returncode != 0, "another failure beside a listed one fails")
+    check(passed.returncode == 0 and "known red: Group.bad: some cause; issue 1" in passed.stdout, "a listed failure is printed")
+    check(run({"Group.other": "fail", "Group.bad": "fail"}, red).returncode != 0, "an unlisted failure beside a listed one fails")
     check(run({"Group.badly": "fail", "Group.bad": "fail"}, red).returncode != 0, "a longer name is another test")
     check(run({"Other.bad": "fail", "Group.bad": "fail"}, red).returncode != 0, "the same name in another group is another test")
-    check(run({"Other.bad": "pass", "Group.bad": "fail"}, red).returncode == 0, "that test passes")
-    check(run({"Group.bad": "pass"}, red).returncode != 0, "a listed one that passes fails")
-    check(run({"Group.bad": "crash"}, red).returncode != 0, "a listed one that crashes fails")
-    check(run({"Group.good": "pass"}, red).returncode == 0, "a test of another program does not count")
+    check(run({"Other.bad": "pass", "Group.bad": "fail"}, red).returncode == 0, "a passing test of that name passes")
+    check(run({"Group.bad": "pass"}, red).returncode != 0, "a listed test that passes fails")
+    check(run({"Group.bad": "crash"}, red).returncode != 0, "a listed test that crashes fails")
+    check(run({"Group.good": "pass"}, red).returncode == 0, "a listed test of another program is ignored")
     two = red + "test Group.worse: other cause; issue 2\n"
-    check(run({"Group.bad": "fail", "Group.worse": "fail"}, two).returncode == 0, "two listed ones are passed over")
+    check(run({"Group.bad": "fail", "Group.worse": "fail"}, two).returncode == 0, "two listed failures are tolerated")
     check(run({"Group.bad": "fail", "Group.worse": "pass"}, two).returncode != 0, "one of two that passes fails")
     check(run({"Group.bad": "fail", "Group.worse": "crash"}, two).returncode != 0, "one of two that crashes fails")
     check(run({"Group.good": "pass"}, "test bad\n").returncode != 0, "a malformed line fails")
--- a/Tests/Integration/test_path.py
+++ b/Tests/Integration/test_path.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""The whole path on real processes: answers, errors, bad input, operators."""
+"""Requests through a fleet of real processes: responses, errors, invalid input, disconnecting and slow callers, operator commands."""
 
 import json
 import socket
@@ -25,16 +25,16 @@
 def test_path():
     with Fleet("--hosts", 3, "--engines", 3, "--services", 1) as fleet:
         first, second, third = fleet.hosts
-        check_answers(fleet, first)
+        check_responses(fleet, first)
         check_errors(fleet, second)
         check_bad_input(fleet, third)
         check_caller_gone(fleet, first)
         check_slow_caller(fleet, first)
         check_operators(fleet, first, second)
-        fleet.no_violations()
+        fleet.assert_no_violations()
 
 
-def check_answers(fleet, host):
+def check_responses(fleet, host):
     plain = fleet.chat(host, "hello", "bulletin")
     assert plain.status == 200 and plain.outcome == "completed" and plain.headers["yokepond-request"], plain.body
     content = plain.json()["choices"][0]["message"]["content"]
@@ -50,8 +50,8 @@
     assert service.status == 200 and service.json()["echo"] == "payload" and service.outcome == "completed"
 
 
-def expect(answer, status, error):
-    assert (answer.status, answer.error, answer.outcome) == (status, error, "not-run"), (answer.status, answer.headers, answer.body)
+def expect(response, status, error):
+    assert (response.status, response.error, response.outcome) == (status, error, "not-run"), (response.status, response.headers, response.body)
 
 
 def check_errors(fleet, host):
@@ -78,8 +78,8 @@
     chunk = "10000\r\n" + "x" * 0x10000 + "\r\n"
     endless = raw(host["caller"], (f"{head}Transfer-Encoding: chunked\r\n\r\n" + chunk * 80).encode())
     assert "413" in endless.splitlines()[0] and "request-too-large" in endless, endless[:300]
-    flood = raw(host["caller"], ("GET / HTTP/1.1\r\nHost: x\r\n" + "X-Header: " + "y" * 60000 + "\r\n\r\n").encode())
-    assert " 4" in flood.splitlines()[0], flood[:300]
+    large_header = raw(host["caller"], ("GET / HTTP/1.1\r\nHost: x\r\n" + "X-Header: " + "y" * 60000 + "\r\n\r\n").encode())
+    assert " 4" in large_header.splitlines()[0], large_header[:300]
     body = json.dumps({"messages": [{"role": "user", "content": "x"}], "max_tokens": 1})
     one = f"{head}Content-Length: {len(body)}\r\n\r\n{body}"
     last = f"{head}Connection: close\r\nContent-Length: {len(body)}\r\n\r\n{body}"
@@ -87,7 +87,7 @@
     assert pipelined.count("HTTP/1.1 200") == 2, pipelined
     nonsense = raw(host["caller"], b"\x00\x01\x02 nonsense\r\n\r\n")
     assert "200" not in nonsense[:20]
-    assert fleet.chat(host, "still alive").status == 200
+    assert fleet.chat(host, "still serving").status == 200
 
 
 def check_caller_gone(fleet, host):
@@ -103,12 +103,12 @@
         states = [run["state"] for endpoint in fleet.endpoints("engine") for run in fleet.runs(endpoint)]
         return states.count("cancelled") == 1 and "running" not in states
 
-    wait_until(cancelled, "the cancelled run")
-    wait_until(lambda: all(row["running"] == 0 for row in fleet.query("show endpoints")["rows"]), "the released permit")
+    wait_until(cancelled, "cancellation of the run")
+    wait_until(lambda: all(row["running"] == 0 for row in fleet.query("show endpoints")["rows"]), "release of the permit")
 
 
 def check_slow_caller(fleet, host):
-    """A caller that does not read holds back its own stream only, and the host's buffer for it stays bounded."""
+    """A caller that does not read blocks only its own stream, and the host limits its buffer for that stream."""
     body = json.dumps({"messages": [{"role": "user", "content": "slow"}], "stream": True, "max_tokens": 3000})
     key = next(iter(fleet.data["callerKeys"].values()))
     ip, port = host["caller"].split(":")
--- a/Tests/Integration/test_rate.py
+++ b/Tests/Integration/test_rate.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""An engine that names the requests a second it takes, at real hosts.
+"""An engine that advertises a maximum request rate gets no more than that from all hosts together.
 
-What was seen: engines that had named 1 a second got 13 in 4 s. Cause: nothing read the word. See
+Guards against hosts that ignore the advertised rate: engines that advertised 1 request/s got 13 in 4 s. See
 docs/incidents/endpoints-that-name-their-rate.md.
 """
 
@@ -11,13 +11,13 @@
 
 from fleet import Fleet, run_tests, wait_until
 
-RATE = 1
-WINDOW = 4
+RATE = 1  # requests per second
+WINDOW = 4  # seconds
 ALLOWED = 1.5 * RATE * WINDOW + 5
 
 
 class Callers:
-    """Threads that send one request after the other, to host after host; those that are there."""
+    """Threads that each send one request after another, to the hosts in `hosts` in turn."""
 
     def __init__(self, fleet, threads=4):
         self.fleet = fleet
@@ -41,39 +41,39 @@
             thread.join()
 
 
-class Arrivals:
-    """The runs that an engine had begun, by the time at which that was known."""
+class RunSampler:
+    """Samples the number of runs that an engine has started: (time before the sample, time after it, runs)."""
 
     def __init__(self, fleet, engine):
         self.fleet = fleet
         self.engine = engine
-        self.seen = []
+        self.samples = []
 
     def watch(self, seconds):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             before = time.monotonic()
             runs = len(self.fleet.runs(self.engine))
-            self.seen.append((before, time.monotonic(), runs))
+            self.samples.append((before, time.monotonic(), runs))
             time.sleep(0.1)
 
-    def most_in_window(self):
-        """Between two looks that are certainly no more than a window apart."""
-        return max(later[2] - earlier[2] for index, earlier in enumerate(self.seen) for later in self.seen[index:]
+    def max_in_window(self):
+        """Returns the largest number of runs between two samples that are at most WINDOW seconds apart."""
+        return max(later[2] - earlier[2] for index, earlier in enumerate(self.samples) for later in self.samples[index:]
                    if later[1] - earlier[0] <= WINDOW)
 
 
-def known(fleet, event="endpoint-rate"):
+def rate_events(fleet, event="endpoint-rate"):
     return [entry for host in fleet.hosts for entry in fleet.log(host) if entry["event"] == event]
 
 
-def test_an_engine_gets_what_it_says_it_takes():
-    """Also while its dispatcher is killed and another takes over; and its share again when it names no rate any more."""
+def test_engine_stays_within_its_advertised_rate():
+    """The limit also holds while the dispatcher is killed and replaced; the engine gets its usual share when it stops advertising a rate."""
     with Fleet("--hosts", 4, "--engines", 3, "--services", 1) as fleet:
         engine = fleet.endpoints("engine")[0]
         callers = Callers(fleet)
         wait_until(lambda: len(fleet.runs(engine)) > 5, "runs at the engine")
-        fleet.faults(engine["address"], rate=str(RATE))
+        fleet.set_faults(engine["address"], rate=str(RATE))
         row = {}
 
         def dispatched():
@@ -81,28 +81,28 @@
             row.update(rows[0] if rows else {})
             return row.get("rate") == RATE
 
-        wait_until(dispatched, "the dispatcher to know the rate")
-        time.sleep(3)  # until then what was on its way before counts too
-        arrivals = Arrivals(fleet, engine)
-        arrivals.watch(5)
+        wait_until(dispatched, "the dispatcher to apply the rate")
+        time.sleep(3)  # until then runs that were granted before the limit may still start
+        sampler = RunSampler(fleet, engine)
+        sampler.watch(5)
         killed = fleet.host(row["dispatcher"])
         callers.hosts.remove(killed)
         fleet.kill(killed)
-        arrivals.watch(6)
-        assert arrivals.most_in_window() <= ALLOWED, arrivals.most_in_window()
-        assert arrivals.seen[-1][2] > arrivals.seen[0][2], "it is still to be used"
-        fleet.faults(engine["address"], rate="many")
+        sampler.watch(6)
+        assert sampler.max_in_window() <= ALLOWED, sampler.max_in_window()
+        assert sampler.samples[-1][2] > sampler.samples[0][2], "the engine must still get runs"
+        fleet.set_faults(engine["address"], rate="many")
         time.sleep(2)
-        fleet.faults(engine["address"], rate="")
+        fleet.set_faults(engine["address"], rate="")
         before = len(fleet.runs(engine))
-        wait_until(lambda: len(fleet.runs(engine)) >= before + 30, "the engine to get its share again")
+        wait_until(lambda: len(fleet.runs(engine)) >= before + 30, "the engine to get its usual share")
         callers.stop()
-        answered = [status for status in callers.statuses if status == 200]
-        assert len(answered) * 100 >= len(callers.statuses) * 98, callers.statuses
-        assert any(entry["known"] == "limited" and entry["per-second"] == RATE for entry in known(fleet))
-        assert any(entry["known"] == "unlimited" for entry in known(fleet))
+        successes = [status for status in callers.statuses if status == 200]
+        assert len(successes) * 100 >= len(callers.statuses) * 98, callers.statuses
+        assert any(entry["known"] == "limited" and entry["per-second"] == RATE for entry in rate_events(fleet))
+        assert any(entry["known"] == "unlimited" for entry in rate_events(fleet))
         fleet.restart(killed)
-        fleet.no_violations()
+        fleet.assert_no_violations()
 
 
 if __name__ == "__main__":
--- a/Tests/Integration/test_records.py
+++ b/Tests/Integration/test_records.py
@@ -1,52 +1,55 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""Hosts on a platform that keeps the configuration and the endpoints itself, through its outages."""
+"""Hosts that use a platform with `form = records`, which stores the configuration and the endpoints, during outages of its store."""
 
 import copy
 
-from fleet import parse_bin, run_tests, wait_until
-from recordsplatform import CONFIGURATION, Door, Hosts, Runner, Store
+from fleet import parse_options, run_tests, wait_until
+from recordsplatform import CONFIGURATION, Endpoint, Hosts, Store, StoreProxy
 
 
 def eventually(hosts, index, method, path, name, status, **more):
-    """Sends until the answer has @p status: views of hosts differ for a moment. Each try has a name of its own."""
-    tries = []
+    """Repeats a request until the response has @p status, because a change reaches the hosts at different times.
 
-    def good():
-        tries.append(hosts.send(index, method, path, f"{name}-{len(tries)}", **more))
-        return tries[-1].status == status
+    Each request has a unique name.
+    """
+    responses = []
 
-    wait_until(good, f"{path} to be answered {status}")
-    return tries[-1]
+    def has_status():
+        responses.append(hosts.send(index, method, path, f"{name}-{len(responses)}", **more))
+        return responses[-1].status == status
+
+    wait_until(has_status, f"{path} to be answered {status}")
+    return responses[-1]
 
 
 def test_records():
     store = Store()
-    models = [Runner("i-m1"), Runner("i-m2")]
-    app = Runner("i-a1")
-    door = Door(store)
-    hosts = Hosts(parse_bin().bin, [door.address, store.address, store.address])
+    models = [Endpoint("i-m1"), Endpoint("i-m2")]
+    app = Endpoint("i-a1")
+    proxy = StoreProxy(store)
+    hosts = Hosts(parse_options().bin, [proxy.address, store.address, store.address])
     try:
         check_without_configuration(hosts)
         store.put("op", "config", CONFIGURATION)
-        for runner in models:
-            store.put("servers", runner.name, runner.row("model"))
+        for model in models:
+            store.put("servers", model.name, model.row("model"))
         store.put("servers", app.name, app.row("app"))
         hosts.wait_ready()
-        check_whole_answers(hosts, app)
+        check_complete_responses(hosts, app)
         check_refusals(hosts, app)
         check_streams(hosts, models)
         check_leaving(hosts, store, models)
         check_outage(hosts, store, app)
         check_swallowed_calls(hosts, store)
-        check_turned_away(hosts, store, door)
+        check_rejected_host(hosts, store, proxy)
         check_slow_store(hosts, store)
         check_revoked_key(hosts, store)
         codes = hosts.stop()
         assert codes == [0, 0, 0], (codes, [hosts.log(index)[-2:] for index in range(3)])
         check_log(hosts)
     finally:
-        store.ended.set()
+        store.closing.set()
         for process in hosts.processes:
             process.kill()
 
@@ -54,16 +57,16 @@
 def check_without_configuration(hosts):
     wait_until(lambda: all(any(entry["event"] == "started" for entry in hosts.log(index)) for index in range(3)), "all to start")
     assert not hosts.ready(0)
-    answer = hosts.send(0, "POST", "/once/x", "early")
-    assert answer.status == 503 and float(answer.headers["retry-after"]) > 0, (answer.status, answer.headers)
+    response = hosts.send(0, "POST", "/once/x", "early")
+    assert response.status == 503 and float(response.headers["retry-after"]) > 0, (response.status, response.headers)
 
 
-def check_whole_answers(hosts, app):
-    # Each host learns of the endpoints by itself, a fraction of a second after another.
+def check_complete_responses(hosts, app):
+    # The hosts get the endpoints independently, within a fraction of a second of one another.
     for index in range(3):
         eventually(hosts, index, "POST", "/once/warm", f"warm-{index}", 200)
-    answer = hosts.send(1, "POST", "/once/a%20b?q=%2F", "whole-1")
-    assert answer.status == 200 and answer.headers["x-response-signature"] == "signed-by-i-a1", answer.headers
+    response = hosts.send(1, "POST", "/once/a%20b?q=%2F", "whole-1")
+    assert response.status == 200 and response.headers["x-response-signature"] == "signed-by-i-a1", response.headers
     method, path, headers, body = app.runs[-1]
     assert (method, path, body) == ("POST", "/once/a%20b?q=%2F", b"payload")
     assert headers["x-tenant-id"] == "town" and "x-credential" not in headers and headers["x-request-id"] == "whole-1", headers
@@ -73,81 +76,81 @@
 
 
 def check_refusals(hosts, app):
-    app.refuse = True
+    app.reject = True
     runs = len(app.runs)
-    answer = hosts.send(2, "POST", "/once/x", "refused")
-    assert answer.status == 503 and "retry-after" in answer.headers, (answer.status, answer.headers)
-    app.refuse = False
+    response = hosts.send(2, "POST", "/once/x", "refused")
+    assert response.status == 503 and "retry-after" in response.headers, (response.status, response.headers)
+    app.reject = False
     app.unsigned = True
-    answer = eventually(hosts, 2, "POST", "/once/x", "unsigned", 502)
-    assert "x-response-signature" not in answer.headers
+    response = eventually(hosts, 2, "POST", "/once/x", "unsigned", 502)
+    assert "x-response-signature" not in response.headers
     app.unsigned = False
     assert len(app.runs) == runs + len([run for run in app.runs[runs:] if run[2]["x-request-id"].startswith("unsigned")])
     eventually(hosts, 2, "POST", "/once/x", "again", 200)
 
 
-def events(answer):
-    return [line for line in answer.body.splitlines() if line.startswith("id: ")]
+def events(response):
+    return [line for line in response.body.splitlines() if line.startswith("id: ")]
 
 
 def check_streams(hosts, models):
     whole = [f"id: {number}" for number in range(1, 6)]
-    answer = hosts.send(0, "POST", "/stream/x", "stream-1")
-    assert answer.status == 200 and events(answer) == whole, answer.body
-    # Both break the first run of each request off within its third event; the rest comes from the other.
-    for runner in models:
-        runner.cut_after = 2
-    answer = hosts.send(0, "POST", "/stream/x", "stream-2")
-    sent = [(runner.name, run[2].get("last-event-id")) for runner in models for run in runner.runs if run[2]["x-request-id"] == "stream-2"]
+    response = hosts.send(0, "POST", "/stream/x", "stream-1")
+    assert response.status == 200 and events(response) == whole, response.body
+    # Both engines break the first run of a request inside its third event; the other engine sends the remaining events.
+    for model in models:
+        model.cut_after = 2
+    response = hosts.send(0, "POST", "/stream/x", "stream-2")
+    sent = [(model.name, run[2].get("last-event-id")) for model in models for run in model.runs if run[2]["x-request-id"] == "stream-2"]
     assert len(sent) == 2 and sorted(str(event) for _, event in sent) == ["2", "None"] and len({name for name, _ in sent}) == 2, sent
     first = next(name for name, event in sent if event is None)
-    assert answer.headers["x-response-signature"] == "signed-by-" + first
-    for runner in models:
-        runner.cut_after = None
-    answer = eventually(hosts, 1, "POST", "/stream/x", "stream-3", 200, **{"Last-Event-Id": "3"})
-    assert events(answer) == whole[3:], answer.body
+    assert response.headers["x-response-signature"] == "signed-by-" + first
+    for model in models:
+        model.cut_after = None
+    response = eventually(hosts, 1, "POST", "/stream/x", "stream-3", 200, **{"Last-Event-Id": "3"})
+    assert events(response) == whole[3:], response.body
 
 
 def check_leaving(hosts, store, models):
     store.put("servers", models[0].name, models[0].row("model", "draining"))
     wait_until(lambda: all(any(entry["event"] == "configuration-applied" and entry["endpoints-version"] == store.version
-                               for entry in hosts.log(index)) for index in range(3)), "all hosts to know")
+                               for entry in hosts.log(index)) for index in range(3)), "all hosts to apply the change")
     runs = len(models[0].runs)
     for number in range(6):
         assert hosts.send(number % 3, "POST", f"/stream/{number}", f"leaving-{number}").status == 200
     assert len(models[0].runs) == runs
 
 
-def last_word_of_store(hosts, index):
-    """Whether the store answers the host, as it last logged."""
-    words = [entry["event"] for entry in hosts.log(index) if entry["event"] in ("store-lost", "store-back")]
-    return words[-1] if words else None
+def last_store_event(hosts, index):
+    """Returns the last event that the host logged about its connection to the store: `store-lost`, `store-back` or None."""
+    store_events = [entry["event"] for entry in hosts.log(index) if entry["event"] in ("store-lost", "store-back")]
+    return store_events[-1] if store_events else None
 
 
 def check_outage(hosts, store, app):
     store.down = True
     wait_until(lambda: all(hosts.log(index)[-1:] and any(entry["event"] == "store-lost" for entry in hosts.log(index))
-                           for index in range(3)), "all hosts to miss the store")
+                           for index in range(3)), "all hosts to log the outage")
     assert hosts.send(0, "POST", "/once/x", "outage").status == 200
     store.remove("servers", app.name)
-    store.forget_history()
+    store.compact_history()
     store.down = False
-    # The lapsed record is not believed at once, and comes back.
-    wait_until(lambda: all(last_word_of_store(hosts, index) == "store-back" for index in range(3)), "the store back")
+    # A record that is missing after an outage is not removed at once; it is written again below.
+    wait_until(lambda: all(last_store_event(hosts, index) == "store-back" for index in range(3)), "the store back")
     assert hosts.send(1, "POST", "/once/x", "lapsed").status == 200
     store.put("servers", app.name, app.row("app"))
     eventually(hosts, 2, "POST", "/once/x", "returned", 200)
 
 
 def check_swallowed_calls(hosts, store):
-    """Calls that hang are given up: what changes after the store's trouble is known, though it never answers them."""
-    store.swallow = True
-    wait_until(lambda: all(last_word_of_store(hosts, index) == "store-lost" for index in range(3)), "all hosts to give up their calls")
-    store.swallow = False
-    check_new_key_is_known(hosts, store, "late-key")
+    """Hosts time out calls that the store never answers, and get changes again when the store responds again."""
+    store.hang = True
+    wait_until(lambda: all(last_store_event(hosts, index) == "store-lost" for index in range(3)), "all hosts to time out their calls")
+    store.hang = False
+    check_new_key_is_applied(hosts, store, "late-key")
 
 
-def check_new_key_is_known(hosts, store, key):
+def check_new_key_is_applied(hosts, store, key):
     changed = copy.deepcopy(CONFIGURATION)
     changed["tenants"][0]["api_keys"].append(key)
     store.put("op", "config", changed)
@@ -155,28 +158,28 @@
         eventually(hosts, index, "POST", "/once/x", f"{key}-{index}", 200, key=key)
 
 
-def check_turned_away(hosts, store, door):
-    """A host that the store turns away while it serves the others learns from them, and stays ready."""
-    # A host may have learned what came after the trouble before from another, and still miss the store itself.
-    wait_until(lambda: all(last_word_of_store(hosts, index) == "store-back" for index in range(3)), "the store back")
-    door.closed = True
-    wait_until(lambda: last_word_of_store(hosts, 0) == "store-lost", "host 0 to be turned away")
-    check_new_key_is_known(hosts, store, "key-of-others")
+def check_rejected_host(hosts, store, proxy):
+    """A host that the store rejects while it serves the others gets changes from them and stays ready."""
+    # After the previous check a host may have got the change from another host before its own store connection recovers.
+    wait_until(lambda: all(last_store_event(hosts, index) == "store-back" for index in range(3)), "the store back")
+    proxy.rejecting = True
+    wait_until(lambda: last_store_event(hosts, 0) == "store-lost", "the store to reject host 0")
+    check_new_key_is_applied(hosts, store, "key-of-others")
     assert hosts.ready(0)
-    assert last_word_of_store(hosts, 0) == "store-lost"
-    # A call swallowed before may be given up only now; the store serves host 1 nevertheless.
-    wait_until(lambda: last_word_of_store(hosts, 1) == "store-back", "the store to serve host 1")
-    assert last_word_of_store(hosts, 0) == "store-lost"
-    door.closed = False
-    wait_until(lambda: last_word_of_store(hosts, 0) == "store-back", "the store back")
+    assert last_store_event(hosts, 0) == "store-lost"
+    # A call left hanging by the previous check may time out only now, though the store serves host 1.
+    wait_until(lambda: last_store_event(hosts, 1) == "store-back", "the store to serve host 1")
+    assert last_store_event(hosts, 0) == "store-lost"
+    proxy.rejecting = False
+    wait_until(lambda: last_store_event(hosts, 0) == "store-back", "the store back")
 
 
 def check_slow_store(hosts, store):
-    """A store that takes almost as long as is waited for it delays what is new, and nothing else."""
-    store.slow = 0.7
-    check_new_key_is_known(hosts, store, "slow-key")
+    """A store whose delay is just below the timeout delays changes and has no other effect."""
+    store.delay_seconds = 0.7
+    check_new_key_is_applied(hosts, store, "slow-key")
     assert all(hosts.ready(index) for index in range(3))
-    store.slow = 0.0
+    store.delay_seconds = 0.0
 
 
 def check_revoked_key(hosts, store):
--- a/Tests/Integration/test_soak.py
+++ b/Tests/Integration/test_soak.py
@@ -1,10 +1,12 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""A seeded soak: real hosts on stand-ins of the platform, faults in series and overlapping, callers that keep their connections
-until the process behind them is gone. Afterwards soakchecks.py judges what callers were told and what endpoints ran.
+"""A soak test with a random seed: real hosts use stand-ins of the platform while single and overlapping faults are injected.
 
---seed N sets the seed, --seconds S runs by time in place of the fixed number of steps, --bound S sets the time within which a
-change must be known (wide by default, for machines that are busy with other things).
+Callers keep a connection until it closes. Afterwards soakchecks.py checks the responses that callers received against the runs at
+the endpoints.
+
+--seed N sets the seed, --seconds S sets a duration in place of the fixed number of steps, --bound S sets the time within which hosts
+must apply a change (long by default, because this machine may be busy with other work).
 """
 
 import copy
@@ -16,117 +18,117 @@
 import threading
 import time
 
-from fleet import parse_bin, request, run_tests, wait_until
-from recordsplatform import CONFIGURATION, Door, Hosts, Runner, Store
-from soakchecks import Accepted, Record, Run, Trouble, Try, broken
+from fleet import parse_options, request, run_tests, wait_until
+from recordsplatform import CONFIGURATION, Endpoint, Hosts, Store, StoreProxy
+from soakchecks import AcceptedConfiguration, CallerRequest, Disturbance, Record, Run, find_violations
 
 HOSTS = 4
 CALLERS = 8
 STEPS = 10
-LATE_WAKE = 0.4  # seconds; a sleep that takes so much longer shows that this machine is too busy to judge times
-EVENTS = 5  # of a stream of the stand-in
+MAX_SLEEP_OVERRUN = 0.4  # seconds; after a sleep that takes this much too long, time limits are not checked, because the machine is overloaded
+EVENTS = 5  # events in a stream of the stand-in endpoint
 
 
 class Caller(threading.Thread):
-    """Sends one request after the other over a connection that it keeps while it lasts."""
+    """Sends one request after another and keeps its connection until it closes."""
 
     def __init__(self, soak, number):
         super().__init__()
         self.soak, self.number = soak, number
         self.random = random.Random(soak.seed * 1000 + number)
-        self.tries = []
-        self.connection, self.host, self.life = None, 0, 0
+        self.requests = []
+        self.connection, self.host, self.incarnation = None, 0, 0
 
     def run(self):
-        while not self.soak.over.is_set():
-            self.try_once()
+        while not self.soak.finished.is_set():
+            self.send_request()
             time.sleep(self.random.random() * 0.05)
 
     def connect(self):
         ready = [index for index in range(HOSTS) if self.soak.ready[index]] or list(range(HOSTS))
         self.host = self.random.choice(ready)
-        self.life = self.soak.lives[self.host]
+        self.incarnation = self.soak.incarnations[self.host]
         self.connection = http.client.HTTPConnection(self.soak.hosts.callers[self.host], timeout=8)
 
-    def try_once(self):
+    def send_request(self):
         if self.connection is None:
             self.connect()
         path = self.random.choice(["/once/x", "/once/x", "/stream/x", "/extra/x"])
         key = self.random.choice(["good-key", "good-key", "other-key"])
-        entry = Try(f"c{self.number}-{len(self.tries)}", path, key, self.host, self.life, time.monotonic(), 0.0, 0)
-        self.tries.append(entry)
+        entry = CallerRequest(f"c{self.number}-{len(self.requests)}", path, key, self.host, self.incarnation, time.monotonic(), 0.0, 0)
+        self.requests.append(entry)
         try:
             self.connection.request("POST", path, "payload", {"Host": "site.example", "X-Request-Id": entry.name,
                                                               "X-Deadline-Ms": "5000", "X-Credential": key})
-            answer = self.connection.getresponse()
-            entry.body = answer.read()
-            entry.answered_name = answer.headers.get("X-Request-Id", "")
-            entry.signature = answer.headers.get("X-Response-Signature", "")
-            entry.status = answer.status
-            entry.whole = not path.startswith("/stream/") or entry.status != 200 or whole_stream(entry.body)
-            if answer.headers.get("Connection", "").lower() == "close":
-                self.leave()
+            response = self.connection.getresponse()
+            entry.body = response.read()
+            entry.response_name = response.headers.get("X-Request-Id", "")
+            entry.signature = response.headers.get("X-Response-Signature", "")
+            entry.status = response.status
+            entry.complete = not path.startswith("/stream/") or entry.status != 200 or is_complete_stream(entry.body)
+            if response.headers.get("Connection", "").lower() == "close":
+                self.disconnect()
         except (OSError, http.client.HTTPException):
             entry.status = 0
-            self.leave()
+            self.disconnect()
         entry.ended = time.monotonic()
 
-    def leave(self):
+    def disconnect(self):
         self.connection.close()
         self.connection = None
 
 
-def whole_stream(body):
+def is_complete_stream(body):
     ids = [int(line[3:]) for line in body.decode().splitlines() if line.startswith("id:")]
     return ids == list(range(1, EVENTS + 1))
 
 
 class Soak:
-    def __init__(self, binaries, seed):
+    def __init__(self, program_directory, seed):
         self.seed = seed
         self.chooser = random.Random(seed)
         self.store = Store()
-        self.doors = [Door(self.store) for _ in range(HOSTS)]
-        self.hosts = Hosts(binaries, [door.address for door in self.doors])
-        self.lives = [0] * HOSTS
+        self.store_proxies = [StoreProxy(self.store) for _ in range(HOSTS)]
+        self.hosts = Hosts(program_directory, [proxy.address for proxy in self.store_proxies])
+        self.incarnations = [0] * HOSTS
         self.ready = [False] * HOSTS
-        self.busy = set()  # hosts that a fault has hold of
+        self.faulted_hosts = set()  # hosts with an active fault
         self.lock = threading.Lock()
-        self.over = threading.Event()
-        self.runners, self.gone = [], []
+        self.finished = threading.Event()
+        self.endpoints, self.removed = [], []
         self.started = 0
         self.keys, self.paths = {"good-key"}, {"/once/", "/stream/"}
-        self.configurations, self.leaving, self.troubles, self.stops = [], {}, [], []
+        self.configurations, self.leaving, self.disturbances, self.stops = [], {}, [], []
         self.injected = []
-        self.exits = []
+        self.exit_codes = []
 
-    # --- what the platform holds
+    # --- contents of the store
 
-    def add_runner(self, service):
+    def add_endpoint(self, service):
         self.started += 1
-        runner = Runner(f"i-{service}{self.started}")
-        self.runners.append((service, runner))
-        self.store.put("servers", runner.name, runner.row(service))
+        endpoint = Endpoint(f"i-{service}{self.started}")
+        self.endpoints.append((service, endpoint))
+        self.store.put("servers", endpoint.name, endpoint.row(service))
 
     def configure(self):
-        whole = copy.deepcopy(CONFIGURATION)
-        whole["version"] = len(self.configurations) + 1
-        whole["tenants"][0]["api_keys"] = sorted(self.keys)
+        configuration = copy.deepcopy(CONFIGURATION)
+        configuration["version"] = len(self.configurations) + 1
+        configuration["tenants"][0]["api_keys"] = sorted(self.keys)
         if "/extra/" in self.paths:
-            whole["routes"].append({**whole["routes"][1], "name": "extra", "path_prefix": "/extra/"})
+            configuration["routes"].append({**configuration["routes"][1], "name": "extra", "path_prefix": "/extra/"})
         before = time.monotonic()
-        self.store.put("op", "config", whole)
-        self.configurations.append(Accepted(before, frozenset(self.keys), frozenset(self.paths)))
+        self.store.put("op", "config", configuration)
+        self.configurations.append(AcceptedConfiguration(before, frozenset(self.keys), frozenset(self.paths)))
 
-    # --- faults; each returns what undoes it
+    # --- faults; each function injects one and returns a function that ends it
 
-    def trouble(self, host=None):
-        entry = Trouble(time.monotonic(), float("inf"), host)
-        self.troubles.append(entry)
+    def add_disturbance(self, host=None):
+        entry = Disturbance(time.monotonic(), float("inf"), host)
+        self.disturbances.append(entry)
         return entry
 
     def store_fault(self, field, value, normal):
-        entry = self.trouble()
+        entry = self.add_disturbance()
         setattr(self.store, field, value)
 
         def undo():
@@ -135,18 +137,18 @@
 
         return undo
 
-    def turned_away(self, host):
-        entry = self.trouble()
-        self.doors[host].closed = True
+    def reject_at_store(self, host):
+        entry = self.add_disturbance()
+        self.store_proxies[host].rejecting = True
 
         def undo():
-            self.doors[host].closed = False
+            self.store_proxies[host].rejecting = False
             entry.end = time.monotonic()
 
         return undo
 
-    def paused(self, host):
-        entry = self.trouble(host)
+    def pause(self, host):
+        entry = self.add_disturbance(host)
         self.hosts.processes[host].send_signal(signal.SIGSTOP)
 
         def undo():
@@ -156,37 +158,37 @@
         return undo
 
     def restart(self, host, entry):
-        self.lives[host] += 1
+        self.incarnations[host] += 1
         self.hosts.start(host)
         wait_until(lambda: self.hosts.ready(host), f"host {host} to be ready again", 60)
         entry.end = time.monotonic()
 
-    def killed(self, host):
-        entry = self.trouble(host)
+    def kill(self, host):
+        entry = self.add_disturbance(host)
         self.hosts.processes[host].kill()
         self.hosts.processes[host].wait()
         return lambda: self.restart(host, entry)
 
-    def stopped(self, host):
-        life, begin = self.lives[host], time.monotonic()
+    def stop(self, host):
+        incarnation, begin = self.incarnations[host], time.monotonic()
         self.hosts.processes[host].terminate()
 
         def undo():
-            self.exits.append(self.hosts.processes[host].wait(timeout=30))
-            self.stops.append((host, life, begin, time.monotonic()))
-            self.restart(host, self.trouble(host))
+            self.exit_codes.append(self.hosts.processes[host].wait(timeout=30))
+            self.stops.append((host, incarnation, begin, time.monotonic()))
+            self.restart(host, self.add_disturbance(host))
 
         return undo
 
-    def told_to_reload(self, host):
+    def reload(self, host):
         self.hosts.processes[host].send_signal(signal.SIGHUP)
         return lambda: None
 
-    def forgets_history(self):
-        self.store.forget_history()
+    def compact_history(self):
+        self.store.compact_history()
         return lambda: None
 
-    def changes_configuration(self):
+    def change_configuration(self):
         for _ in range(self.chooser.choice([1, 1, 4])):
             self.keys ^= {"other-key"}
             if self.chooser.random() < 0.5:
@@ -194,67 +196,67 @@
             self.configure()
         return lambda: None
 
-    def runner_fault(self, field, value, normal):
-        _, runner = self.chooser.choice(self.runners)
-        setattr(runner, field, value)
-        return lambda: setattr(runner, field, normal)
-
-    def replaces_runner(self):
-        service, runner = self.chooser.choice(self.runners)
-        self.add_runner(service)
-        self.runners.remove((service, runner))
-        self.gone.append((service, runner))
-        self.store.put("servers", runner.name, runner.row(service, "draining"))
-        self.leaving[runner.name] = time.monotonic()
+    def endpoint_fault(self, field, value, normal):
+        _, endpoint = self.chooser.choice(self.endpoints)
+        setattr(endpoint, field, value)
+        return lambda: setattr(endpoint, field, normal)
+
+    def replace_endpoint(self):
+        service, endpoint = self.chooser.choice(self.endpoints)
+        self.add_endpoint(service)
+        self.endpoints.remove((service, endpoint))
+        self.removed.append((service, endpoint))
+        self.store.put("servers", endpoint.name, endpoint.row(service, "draining"))
+        self.leaving[endpoint.name] = time.monotonic()
         return lambda: None
 
     def inject(self):
-        """One fault, and how to undo it."""
-        free = [host for host in range(HOSTS) if host not in self.busy]
-        store_faults = {"down": lambda: self.store_fault("down", True, False), "swallow": lambda: self.store_fault("swallow", True, False),
-                        "slow": lambda: self.store_fault("slow", 0.3, 0.0), "history": self.forgets_history}
-        runner_faults = {"refuse": lambda: self.runner_fault("refuse", True, False),
-                         "unsigned": lambda: self.runner_fault("unsigned", True, False),
-                         "cut": lambda: self.runner_fault("cut_after", 2, None)}
-        host_faults = {"pause": self.paused, "kill": self.killed, "stop": self.stopped, "hup": self.told_to_reload, "away": self.turned_away}
-        kinds = [*store_faults, *runner_faults, "configuration", "configuration", "replace"]
-        # At least two hosts serve.
+        """Injects a random fault and returns the function that ends it."""
+        free = [host for host in range(HOSTS) if host not in self.faulted_hosts]
+        store_faults = {"down": lambda: self.store_fault("down", True, False), "swallow": lambda: self.store_fault("hang", True, False),
+                        "slow": lambda: self.store_fault("delay_seconds", 0.3, 0.0), "history": self.compact_history}
+        endpoint_faults = {"refuse": lambda: self.endpoint_fault("reject", True, False),
+                           "unsigned": lambda: self.endpoint_fault("unsigned", True, False),
+                           "cut": lambda: self.endpoint_fault("cut_after", 2, None)}
+        host_faults = {"pause": self.pause, "kill": self.kill, "stop": self.stop, "hup": self.reload, "away": self.reject_at_store}
+        kinds = [*store_faults, *endpoint_faults, "configuration", "configuration", "replace"]
+        # Host faults are allowed only while at least two other hosts have none.
         kinds += [*host_faults] * 2 if len(free) > 2 else []
         kind = self.chooser.choice(kinds)
         self.injected.append(kind)
         if kind in store_faults:
             return store_faults[kind]()
-        if kind in runner_faults:
-            return runner_faults[kind]()
+        if kind in endpoint_faults:
+            return endpoint_faults[kind]()
         if kind == "configuration":
-            return self.changes_configuration()
+            return self.change_configuration()
         if kind == "replace":
-            return self.replaces_runner()
+            return self.replace_endpoint()
         host = self.chooser.choice(free)
-        self.busy.add(host)
+        self.faulted_hosts.add(host)
         undo = host_faults[kind](host)
 
         def undo_and_free():
             undo()
-            self.busy.discard(host)
+            self.faulted_hosts.discard(host)
 
         return undo_and_free
 
     # --- the run
 
     def watch(self):
-        """Asks for readiness as a balancer does, and notes when this machine is too busy to judge times."""
-        while not self.over.is_set():
+        """Polls the readiness of the hosts as a load balancer does, and records when this machine is overloaded."""
+        while not self.finished.is_set():
             for index in range(HOSTS):
                 self.ready[index] = self.hosts.ready(index)
             begin = time.monotonic()
             time.sleep(0.1)
-            if time.monotonic() - begin > 0.1 + LATE_WAKE:
-                self.troubles.append(Trouble(begin, time.monotonic()))
+            if time.monotonic() - begin > 0.1 + MAX_SLEEP_OVERRUN:
+                self.disturbances.append(Disturbance(begin, time.monotonic()))
 
     def run(self, seconds):
         for service in ["model", "model", "app", "app", "app"]:
-            self.add_runner(service)
+            self.add_endpoint(service)
         self.configure()
         self.hosts.wait_ready()
         watcher = threading.Thread(target=self.watch)
@@ -268,7 +270,7 @@
                 step += 1
                 undos.append(self.inject())
                 time.sleep(self.chooser.random() * 1.5)
-                # Up to three faults at once.
+                # At most three faults are active at once.
                 while undos and (len(undos) > 2 or self.chooser.random() < 0.5):
                     undos.pop(self.chooser.randrange(len(undos)))()
                 time.sleep(self.chooser.random())
@@ -276,19 +278,19 @@
                 undo()
             time.sleep(1)
         finally:
-            self.over.set()
+            self.finished.set()
             for caller in callers:
                 caller.join()
             watcher.join()
         return callers
 
     def record(self, callers, bound):
-        runs = [Run(name, runner.name, at) for _, runner in self.runners + self.gone for name, at in runner.arrivals]
-        tries = [entry for caller in callers for entry in caller.tries]
-        return Record(tries, runs, self.configurations, self.leaving, self.troubles, self.stops, bound)
+        runs = [Run(name, endpoint.name, at) for _, endpoint in self.endpoints + self.removed for name, at in endpoint.arrivals]
+        requests = [entry for caller in callers for entry in caller.requests]
+        return Record(requests, runs, self.configurations, self.leaving, self.disturbances, self.stops, bound)
 
-    def end(self):
-        self.store.ended.set()
+    def shut_down(self):
+        self.store.closing.set()
         for process in self.hosts.processes:
             process.send_signal(signal.SIGCONT)
             process.kill()
@@ -296,23 +298,23 @@
 
 
 def test_soak():
-    options = parse_bin()
+    options = parse_options()
     soak = Soak(options.bin, options.seed)
     try:
         callers = soak.run(options.seconds)
         record = soak.record(callers, options.bound)
-        served = sum(entry.status == 200 for entry in record.tries)
-        found = broken(record)
-        print(f"seed {options.seed}: {len(record.tries)} requests, {served} served, {len(record.runs)} runs, faults {soak.injected}")
+        served = sum(entry.status == 200 for entry in record.requests)
+        found = find_violations(record)
+        print(f"seed {options.seed}: {len(record.requests)} requests, {served} served, {len(record.runs)} runs, faults {soak.injected}")
         if found:
             print(json.dumps({name: entries[:10] for name, entries in found.items()}, indent=1))
             print(f"logs of the hosts: {soak.hosts.directory}")
         assert not found, {name: len(entries) for name, entries in found.items()}
         assert served > 100, served
-        # A planned stop that cut off what waited for the store says so by its code.
-        assert all(code in (0, 3) for code in soak.exits), soak.exits
+        # Exit code 3: the stop ended requests that still waited for the store.
+        assert all(code in (0, 3) for code in soak.exit_codes), soak.exit_codes
     finally:
-        soak.end()
+        soak.shut_down()
     shutil.rmtree(soak.hosts.directory, ignore_errors=True)
 
 
--- a/Tests/Integration/test_stop.py
+++ b/Tests/Integration/test_stop.py
@@ -1,13 +1,10 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""A planned stop waits for answers that are still on their way to callers, not only for runs.
+"""A planned stop waits until callers have received their responses, not only until the runs have ended.
 
-Seen: a host that was stopped as planned said that it had drained, and closed two streams in the middle of their answers.
-How it came about: the engines had ended both 0.3 s before; the host was small and busy, and had not sent the rest yet.
-Cause: a call counted as open until its last bytes were handed to the server library, and the process ended 0.3 s after the last call,
-whatever the library still held.
-Proof: a caller that takes nothing for 1.5 s, and an answer larger than the connection's buffers: without the mend it is cut, and the log
-says `drained`.
+Guards against a host that reports `drained` and closes streams in the middle: a request counted as finished as soon as its last bytes
+were handed to the HTTP server library, and the process exited 0.3 s after the last request, whatever the library had not sent yet.
+The test uses a caller that reads nothing for 1.5 s and a response larger than the connection's buffers.
 """
 
 import json
@@ -15,14 +12,14 @@
 import socket
 import time
 
-from fleet import parse_bin, run_tests, wait_until
-from recordsplatform import CONFIGURATION, Hosts, Runner, Store, send
+from fleet import parse_options, run_tests, wait_until
+from recordsplatform import CONFIGURATION, Endpoint, Hosts, Store, send
 
 BODY = b"0123456789abcdef" * 200_000  # 3.2 MB: more than the connection's buffers take
 
 
-class LargeRunner(Runner):
-    """Answers at once, with a body that a caller needs time to read."""
+class LargeResponseEndpoint(Endpoint):
+    """An endpoint whose responses are larger than the buffers of a connection."""
 
     def respond(self, handler):
         self.runs.append(handler.path)
@@ -31,7 +28,7 @@
 
 
 def slow_caller(address, name):
-    """A connection that has sent a request and takes little at a time."""
+    """Sends a request over a connection with a small receive buffer and returns the connection."""
     connection = socket.socket()
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     host, port = address.split(":")
@@ -55,17 +52,17 @@
 
 def test_stop():
     store = Store()
-    app = LargeRunner("i-a1")
-    hosts = Hosts(parse_bin().bin, [store.address])
+    app = LargeResponseEndpoint("i-a1")
+    hosts = Hosts(parse_options().bin, [store.address])
     try:
         store.put("op", "config", CONFIGURATION)
         store.put("servers", app.name, app.row("app"))
         hosts.wait_ready()
-        wait_until(lambda: hosts.send(0, "POST", "/once/x", "first").status == 200, "the endpoint to be known")
+        wait_until(lambda: hosts.send(0, "POST", "/once/x", "first").status == 200, "the endpoint to be usable")
         connection = slow_caller(hosts.callers[0], "slow")
         wait_until(lambda: len(app.runs) >= 2, "the run to end")
         hosts.processes[0].send_signal(signal.SIGTERM)
-        # Longer than the balancer's lag and all that the host waits for after the last run.
+        # Longer than the balancer lag plus all waits of the host after the last run.
         time.sleep(1.5)
         received, error = read_all(connection)
         head, _, body = received.partition(b"\r\n\r\n")
@@ -74,7 +71,7 @@
         stopped = [entry for entry in hosts.log(0) if entry["event"] == "stopped"]
         assert stopped and stopped[-1]["drained"], json.dumps(stopped)
     finally:
-        store.ended.set()
+        store.closing.set()
         for process in hosts.processes:
             process.kill()
 
