--- a/Tests/Integration/fleet.py
+++ b/Tests/Integration/fleet.py
@@ -154,7 +154,10 @@
         assert response.status == 200, response.body
 
     def set_route_faults(self, name, **faults):
-        """Replaces the faults of a route of the fault proxy; without arguments the route works again."""
+        """Replaces the faults of a route of the fault proxy: faults that are not given end, and without arguments the route works again.
+
+        `cut=True` closes the connections that are open now; it does not affect later ones.
+        """
         body = json.dumps({key.replace("_", "-"): value for key, value in faults.items()})
         response = request(self.data["proxy"]["address"], "POST", f"/{name}", body=body)
         assert response.status == 200, response.body
--- a/Tests/Integration/recordsplatform.py
+++ b/Tests/Integration/recordsplatform.py
@@ -1,6 +1,9 @@
 # SPDX-License-Identifier: BSD-3-Clause
 # SPDX-FileCopyrightText: 2026 yokepond maintainers
-"""Stand-ins for the platform with `form = records`: its store, its endpoints and the receiver of duty calls; and daemons that use them."""
+"""Stand-ins for a platform whose store holds the configuration and the endpoints (setting `form = records`), and daemons that use them.
+
+A duty is a task that one host at a time does for all hosts, such as reporting usage; its calls carry a fence, which grows with each holder.
+"""
 
 import base64
 import json
@@ -64,10 +67,12 @@
 
 
 class Store(Server):
-    """The platform's store: rows, versions from one counter, and a long-polling feed of changes.
+    """The platform's store: rows, a version counter, and a long-polling feed of changes.
+
+    Each write raises the counter; the protocol calls it `schema_version` in rows, and `since_revision` and `expected_revision` in calls.
 
     `down`: answers every call with 503.
-    `hang`: never responds to calls that are open or arrive while it is set, not even after it is cleared.
+    `hang`: while set, calls that arrive and feed calls that wait are left without a response for good, also when it is cleared.
     `delay_seconds`: delay of each response.
     `closing`: set at the end of a test; releases the calls that hang.
     """
@@ -168,8 +173,8 @@
         send(handler, 200, {"Content-Type": "application/json"}, json.dumps(body).encode())
 
 
-class StoreProxy(Server):
-    """A separate address of the store, so that a test can fail the store for one host only.
+class StoreAddress(Server):
+    """A second listening address of the same Store object, so that a test can fail the store for one host only.
 
     `rejecting`: answers 503 at this address while the store serves its other addresses.
     `calls`: number of calls received at this address.
@@ -187,7 +192,7 @@
 
 
 class DutyReceiver(Server):
-    """Receives the calls of the duties: usage reports at /metering, and orders for endpoints.
+    """Receives the calls of duty holders: usage reports at /metering, and orders for the number of endpoints at other paths.
 
     `violations`: calls that the platform forbids, such as an older fence after a newer one, or two holders of one fence.
     `down`: answers every call with 503.
@@ -233,15 +238,15 @@
     """An endpoint whose streams have five events.
 
     `cut_after`: number of whole events of a new stream before the connection breaks inside the next event; resumed streams stay whole.
-    `reject`: answers every run with 503, with `retry_after` as Retry-After header if that is set.
-    `leaving`: adds the header Server-Leaving to every response of a run.
+    `reject`: answers every request with 503 and does not run it, with `retry_after` as Retry-After header if that is set.
+    `leaving`: adds the header Server-Leaving to every response, also to rejections.
     `unsigned`: leaves out the response signature.
     """
 
     def __init__(self, name):
         self.name = name
         self.runs = []
-        self.arrivals = []  # (request name, monotonic time of arrival)
+        self.arrivals = []  # (X-Request-Id, monotonic time of arrival)
         self.cut_after = None
         self.reject = False
         self.retry_after = None
@@ -306,10 +311,10 @@
 
 
 class Hosts:
-    """Starts one daemon for each store address in `platforms`; `extra_settings` is appended to the settings of each."""
+    """Starts one daemon for each address of the store in `store_addresses`; `extra_settings` is appended to the settings of each."""
 
-    def __init__(self, program_directory, platforms, extra_settings=""):
-        count = len(platforms)
+    def __init__(self, program_directory, store_addresses, extra_settings=""):
+        count = len(store_addresses)
         self.directory = tempfile.mkdtemp(prefix="yokepond-records-")
         ports = [localfleet.reserve_ports(3) for _ in range(count)]
         seeds = ", ".join(f"127.0.0.1:{entry[2]}" for entry in ports)
@@ -322,7 +327,7 @@
             with open(settings, "w", encoding="utf-8") as file:
                 file.write(f"[host]\nname = h{index}\ndata-centre = a\n[listen]\ncaller = 127.0.0.1:{caller}\n"
                            f"operator = 127.0.0.1:{operator}\npeer = 127.0.0.1:{peer}\n[peers]\nseeds = {seeds}\n"
-                           f"[platform]\nform = records\naddress = {platforms[index]}\ntimeout-ms = 1000\n"
+                           f"[platform]\nform = records\naddress = {store_addresses[index]}\ntimeout-ms = 1000\n"
                            "[dispatch]\nwhole-pool-shards = yes\nplacement = soonest-first-token\nwindow = fixed\n"
                            "[retries]\nshare = 0.2\nslack = 50\n[stop]\nbalancer-lag-ms = 200\nkilled-after-s = 5\n"
                            f"[test]\nfatal-invariants = yes\n{extra_settings}")
--- a/Tests/Integration/soakchecks.py
+++ b/Tests/Integration/soakchecks.py
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass
 class CallerRequest:
-    """One request of a caller, which has a unique name, and its response; status 0: the connection ended without a response."""
+    """One request of a caller, whose name is its unique X-Request-Id, and its response; status 0: the connection ended without a response."""
 
     name: str
     path: str
@@ -21,7 +21,7 @@
     sent: float
     ended: float
     status: int
-    response_name: str = ""  # request name in the response
+    response_name: str = ""  # X-Request-Id of the response
     signature: str = ""
     body: bytes = b""
     complete: bool = True
@@ -63,7 +63,7 @@
     requests: list
     runs: list
     configurations: list  # ordered by time
-    leaving: dict  # endpoint -> time at which the store got its state `draining`
+    leaving: dict  # endpoint name -> time at which the store got its state `draining`
     disturbances: list
     stops: list  # (host, incarnation, begin, end) of planned stops
     bound: float = 3.0  # seconds within which a host must apply a change; a host must be undisturbed as long before it is checked
--- a/Tests/Integration/test_faults.py
+++ b/Tests/Integration/test_faults.py
@@ -9,10 +9,10 @@
 
 
 def test_points_of_no_return():
-    """The connection to a service breaks after various numbers of bytes: the outcome is `not-run` only if the service ran nothing."""
+    """The connection to a service breaks before or after the bytes that may start a run: the outcome is `not-run` only if the service ran nothing."""
     with Fleet("--hosts", 2, "--engines", 1, "--services", 1, "--proxy") as fleet:
         first, second = fleet.hosts
-        # Keeps the service from being ejected for the faults that this test injects.
+        # Turns the ejection of slow endpoints off, so that the service stays in use despite the faults that this test injects.
         assert fleet.command("create setting eject-slow value no", Yokepond_Wait="yes").status == 200
         for cut in (0, 1, 20, 100, 200, 300, 350, 380, 400, 420, 440, 460, 480, 500, 520, 600):
             fleet.set_route_faults("s1", cut_after_forward=cut)
@@ -55,7 +55,7 @@
             texts = [json.loads(event)["choices"][0]["delta"]["content"] for event in events_of(response)[:-1] if "choices" in event]
             wanted = [json.loads(event)["choices"][0]["delta"]["content"] for event in expected[:-1]]
             complete = events_of(response)[-1] == "[DONE]"
-            # Each resumed connection breaks as well, so a long stream may end in an explicit error, but must not end without one.
+            # Each resumed connection breaks as well, so a long stream may stay incomplete; it must then end in an explicit error.
             assert texts == wanted[: len(texts)], texts
             assert complete and len(texts) == 30 or "event: error" in response.body, response.body[-300:]
             fleet.set_route_faults("e1")
@@ -112,7 +112,7 @@
 
 
 def test_dispatcher_lost():
-    """A dispatcher is paused, stops receiving, and is killed: requests at the other hosts still succeed."""
+    """Requests at the other hosts succeed while the host of the dispatcher is paused, then receives nothing, and finally is killed."""
     with Fleet("--hosts", 4, "--engines", 2, "--services", 1, "--proxy") as fleet:
         rows = fleet.query("show dispatchers where pool = drafting")["rows"]
         dispatcher = fleet.host(rows[0]["host"])
--- a/Tests/Integration/test_random.py
+++ b/Tests/Integration/test_random.py
@@ -4,7 +4,7 @@
 the store is down or loses responses, services break off responses, and links break. Afterwards the outcomes that callers received
 are compared with the run logs of the services.
 
---seed N sets the seed, --seconds S sets a duration in place of the fixed number of steps.
+--seed N sets the seed, --seconds S sets a minimum duration besides the minimum number of steps.
 """
 
 import collections
--- a/Tests/Integration/test_records.py
+++ b/Tests/Integration/test_records.py
@@ -5,7 +5,7 @@
 import copy
 
 from fleet import parse_options, run_tests, wait_until
-from recordsplatform import CONFIGURATION, Endpoint, Hosts, Store, StoreProxy
+from recordsplatform import CONFIGURATION, Endpoint, Hosts, Store, StoreAddress
 
 
 def eventually(hosts, index, method, path, name, status, **more):
@@ -27,8 +27,8 @@
     store = Store()
     models = [Endpoint("i-m1"), Endpoint("i-m2")]
     app = Endpoint("i-a1")
-    proxy = StoreProxy(store)
-    hosts = Hosts(parse_options().bin, [proxy.address, store.address, store.address])
+    store_address = StoreAddress(store)
+    hosts = Hosts(parse_options().bin, [store_address.address, store.address, store.address])
     try:
         check_without_configuration(hosts)
         store.put("op", "config", CONFIGURATION)
@@ -42,7 +42,7 @@
         check_leaving(hosts, store, models)
         check_outage(hosts, store, app)
         check_swallowed_calls(hosts, store)
-        check_rejected_host(hosts, store, proxy)
+        check_rejected_host(hosts, store, store_address)
         check_slow_store(hosts, store)
         check_revoked_key(hosts, store)
         codes = hosts.stop()
@@ -158,11 +158,11 @@
         eventually(hosts, index, "POST", "/once/x", f"{key}-{index}", 200, key=key)
 
 
-def check_rejected_host(hosts, store, proxy):
+def check_rejected_host(hosts, store, store_address):
     """A host that the store rejects while it serves the others gets changes from them and stays ready."""
     # After the previous check a host may have got the change from another host before its own store connection recovers.
     wait_until(lambda: all(last_store_event(hosts, index) == "store-back" for index in range(3)), "the store back")
-    proxy.rejecting = True
+    store_address.rejecting = True
     wait_until(lambda: last_store_event(hosts, 0) == "store-lost", "the store to reject host 0")
     check_new_key_is_applied(hosts, store, "key-of-others")
     assert hosts.ready(0)
@@ -170,7 +170,7 @@
     # A call left hanging by the previous check may time out only now, though the store serves host 1.
     wait_until(lambda: last_store_event(hosts, 1) == "store-back", "the store to serve host 1")
     assert last_store_event(hosts, 0) == "store-lost"
-    proxy.rejecting = False
+    store_address.rejecting = False
     wait_until(lambda: last_store_event(hosts, 0) == "store-back", "the store back")
 
 
--- a/Tests/Integration/test_soak.py
+++ b/Tests/Integration/test_soak.py
@@ -5,7 +5,7 @@
 Callers keep a connection until it closes. Afterwards soakchecks.py checks the responses that callers received against the runs at
 the endpoints.
 
---seed N sets the seed, --seconds S sets a duration in place of the fixed number of steps, --bound S sets the time within which hosts
+--seed N sets the seed, --seconds S sets a minimum duration besides the minimum number of steps, --bound S sets the time within which hosts
 must apply a change (long by default, because this machine may be busy with other work).
 """
 
@@ -19,13 +19,15 @@
 import time
 
 from fleet import parse_options, request, run_tests, wait_until
-from recordsplatform import CONFIGURATION, Endpoint, Hosts, Store, StoreProxy
+from recordsplatform import CONFIGURATION, Endpoint, Hosts, Store, StoreAddress
 from soakchecks import AcceptedConfiguration, CallerRequest, Disturbance, Record, Run, find_violations
 
 HOSTS = 4
 CALLERS = 8
 STEPS = 10
-MAX_SLEEP_OVERRUN = 0.4  # seconds; after a sleep that takes this much too long, time limits are not checked, because the machine is overloaded
+# Seconds by which a sleep may exceed its time. If it takes longer, the machine is overloaded, and no time limits are checked for the
+# duration of that sleep.
+MAX_SLEEP_OVERRUN = 0.4
 EVENTS = 5  # events in a stream of the stand-in endpoint
 
 
@@ -88,25 +90,25 @@
         self.seed = seed
         self.chooser = random.Random(seed)
         self.store = Store()
-        self.store_proxies = [StoreProxy(self.store) for _ in range(HOSTS)]
-        self.hosts = Hosts(program_directory, [proxy.address for proxy in self.store_proxies])
+        self.store_addresses = [StoreAddress(self.store) for _ in range(HOSTS)]
+        self.hosts = Hosts(program_directory, [address.address for address in self.store_addresses])
         self.incarnations = [0] * HOSTS
         self.ready = [False] * HOSTS
         self.faulted_hosts = set()  # hosts with an active fault
         self.lock = threading.Lock()
         self.finished = threading.Event()
-        self.endpoints, self.removed = [], []
-        self.started = 0
+        self.endpoints, self.replaced = [], []  # both hold (service, endpoint)
+        self.endpoint_count = 0  # endpoints created so far; numbers their names
         self.keys, self.paths = {"good-key"}, {"/once/", "/stream/"}
-        self.configurations, self.leaving, self.disturbances, self.stops = [], {}, [], []
+        self.configurations, self.leaving_since, self.disturbances, self.stops = [], {}, [], []
         self.injected = []
         self.exit_codes = []
 
     # --- contents of the store
 
     def add_endpoint(self, service):
-        self.started += 1
-        endpoint = Endpoint(f"i-{service}{self.started}")
+        self.endpoint_count += 1
+        endpoint = Endpoint(f"i-{service}{self.endpoint_count}")
         self.endpoints.append((service, endpoint))
         self.store.put("servers", endpoint.name, endpoint.row(service))
 
@@ -123,6 +125,7 @@
     # --- faults; each function injects one and returns a function that ends it
 
     def add_disturbance(self, host=None):
+        """Records the begin of a period without checks of time limits, for one host or, with None, for all; the caller sets its end."""
         entry = Disturbance(time.monotonic(), float("inf"), host)
         self.disturbances.append(entry)
         return entry
@@ -139,10 +142,10 @@
 
     def reject_at_store(self, host):
         entry = self.add_disturbance()
-        self.store_proxies[host].rejecting = True
+        self.store_addresses[host].rejecting = True
 
         def undo():
-            self.store_proxies[host].rejecting = False
+            self.store_addresses[host].rejecting = False
             entry.end = time.monotonic()
 
         return undo
@@ -205,20 +208,20 @@
         service, endpoint = self.chooser.choice(self.endpoints)
         self.add_endpoint(service)
         self.endpoints.remove((service, endpoint))
-        self.removed.append((service, endpoint))
+        self.replaced.append((service, endpoint))
         self.store.put("servers", endpoint.name, endpoint.row(service, "draining"))
-        self.leaving[endpoint.name] = time.monotonic()
+        self.leaving_since[endpoint.name] = time.monotonic()
         return lambda: None
 
     def inject(self):
         """Injects a random fault and returns the function that ends it."""
         free = [host for host in range(HOSTS) if host not in self.faulted_hosts]
-        store_faults = {"down": lambda: self.store_fault("down", True, False), "swallow": lambda: self.store_fault("hang", True, False),
-                        "slow": lambda: self.store_fault("delay_seconds", 0.3, 0.0), "history": self.compact_history}
-        endpoint_faults = {"refuse": lambda: self.endpoint_fault("reject", True, False),
+        store_faults = {"down": lambda: self.store_fault("down", True, False), "hang": lambda: self.store_fault("hang", True, False),
+                        "slow": lambda: self.store_fault("delay_seconds", 0.3, 0.0), "compact": self.compact_history}
+        endpoint_faults = {"reject": lambda: self.endpoint_fault("reject", True, False),
                            "unsigned": lambda: self.endpoint_fault("unsigned", True, False),
                            "cut": lambda: self.endpoint_fault("cut_after", 2, None)}
-        host_faults = {"pause": self.pause, "kill": self.kill, "stop": self.stop, "hup": self.reload, "away": self.reject_at_store}
+        host_faults = {"pause": self.pause, "kill": self.kill, "stop": self.stop, "hup": self.reload, "store-reject": self.reject_at_store}
         kinds = [*store_faults, *endpoint_faults, "configuration", "configuration", "replace"]
         # Host faults are allowed only while at least two other hosts have none.
         kinds += [*host_faults] * 2 if len(free) > 2 else []
@@ -285,9 +288,9 @@
         return callers
 
     def record(self, callers, bound):
-        runs = [Run(name, endpoint.name, at) for _, endpoint in self.endpoints + self.removed for name, at in endpoint.arrivals]
+        runs = [Run(name, endpoint.name, at) for _, endpoint in self.endpoints + self.replaced for name, at in endpoint.arrivals]
         requests = [entry for caller in callers for entry in caller.requests]
-        return Record(requests, runs, self.configurations, self.leaving, self.disturbances, self.stops, bound)
+        return Record(requests, runs, self.configurations, self.leaving_since, self.disturbances, self.stops, bound)
 
     def shut_down(self):
         self.store.closing.set()
--- a/Utilities/localfleet.py
+++ b/Utilities/localfleet.py
@@ -66,8 +66,8 @@
 def reserve_ports(count):
     """Reserves ports for this process and returns them.
 
-    A lock file keeps other fleets from taking a port, and the range keeps outgoing connections from it. Otherwise either could take the
-    port before a host listens on it, or between two starts of the host.
+    Until a host listens on a port, and while it restarts, another fleet or an outgoing connection could take the port. A lock file keeps
+    other fleets from it; outgoing connections use ports outside the range.
     """
     return [reserve_port() for _ in range(count)]
 
@@ -157,8 +157,8 @@
         lines.append(f"create class {name} tier {tier} pool {pool} repeatable {repeatable} {parameters}")
     for name, weight, default in site["organisations"]:
         lines.append(f"create organisation {name} key key-of-{name} weight {weight} default-class {default}")
-    first = site["organisations"][0][2]
-    lines += [f"create organisation extra-{index} key key-of-extra-{index} default-class {first}" for index in range(extra_organisations)]
+    default_class = site["organisations"][0][2]
+    lines += [f"create organisation extra-{index} key key-of-extra-{index} default-class {default_class}" for index in range(extra_organisations)]
     for entry in endpoints:
         lines.append(
             f"create endpoint {entry['name']} pool {entry['pool']} address {entry['route']} data-centre {entry['dataCentre']} "
@@ -254,15 +254,15 @@
         host["settings"] = str(settings)
         save()
     wait_until(lambda: call(platform, "/counts")[0] == 200, "start of the platform")
-    # Waits for the endpoints, because one that does not listen yet fails its first runs and then gets one run at a time while it is probed.
+    # Waits for the endpoints: after failed runs, hosts would send an endpoint one run at a time until it succeeds again.
     for endpoint in fleet["endpoints"]:
         wait_until(lambda endpoint=endpoint: listens(endpoint["address"]), f"start of {endpoint['name']}")
-    listed = [{"name": host["name"], "address": host["peer"], "role": "router", "state": "live"} for host in fleet["hosts"]]
-    call(platform, "/hosts", json.dumps(listed))
-    first = fleet["hosts"][0]["operator"]
+    platform_hosts = [{"name": host["name"], "address": host["peer"], "role": "router", "state": "live"} for host in fleet["hosts"]]
+    call(platform, "/hosts", json.dumps(platform_hosts))
+    operator_address = fleet["hosts"][0]["operator"]
     headers = {"Authorization": f"Bearer {OPERATOR_KEY}", "Yokepond-Reason": "localfleet"}
-    wait_until(lambda: call(first, "/readyz")[0] == 200, "readiness of the first host")
-    status, response = call(first, "/command", configuration(site, fleet["endpoints"], options.organisations), headers)
+    wait_until(lambda: call(operator_address, "/readyz")[0] == 200, "readiness of the first host")
+    status, response = call(operator_address, "/command", configuration(site, fleet["endpoints"], options.organisations), headers)
     if status != 200:
         raise SystemExit(f"localfleet: the configuration was rejected: {response}")
     revision = json.loads(response)["revision"]
