--- a/Tests/Integration/test_fatal.py
+++ b/Tests/Integration/test_fatal.py
@@ -19,7 +19,13 @@
         fleet.set_faults(engine["address"], ends_on=MARK)
 
 
+def no_engine_is_exiting(fleet):
+    """A process closes its sockets before it has ended, so that a caller sees the crash before the process list does."""
+    return all(localfleet.alive(engine["pid"]) == localfleet.listens(engine["address"]) for engine in fleet.endpoints("engine"))
+
+
 def count_live_engines(fleet):
+    wait_until(lambda: no_engine_is_exiting(fleet), "the end of the crashed engines", 3)
     return sum(localfleet.alive(engine["pid"]) for engine in fleet.endpoints("engine"))
 
 
