--- a/Tests/Integration/test_fatal.py
+++ b/Tests/Integration/test_fatal.py
@@ -76,6 +76,7 @@
         for index in range(8):
             fleet.chat(fleet.hosts[index % 3], MARK)
         work = quarantined(fleet, fleet.hosts[0])[0]["work"]
+        wait_until(lambda: no_engine_is_exiting(fleet), "the end of the crashed engines", 3)
         for engine in fleet.endpoints("engine"):
             if localfleet.alive(engine["pid"]):
                 fleet.set_faults(engine["address"], ends_on="")
