--- a/Source/Dispatch/health.cpp
+++ b/Source/Dispatch/health.cpp
@@ -22,9 +22,8 @@
 /// rarely random.
 constexpr double latestErrorWeight = 0.1;
 constexpr std::uint32_t minResponses = 6;
-/// An endpoint is ejected when its share of errors exceeds the median by this. With a sixth of the engines responding to half of
-/// their requests with errors, this reduced the error responses from 1,138 to 906 and raised the served share of the attainable
-/// value from 0.55 to 0.58 (single simulated days of high load of the large deployment, which differ by 0.03).
+/// An endpoint is ejected when its share of errors exceeds the median by this. With a smaller margin, random differences
+/// eject healthy endpoints (see above); with a larger one, endpoints that respond to many requests with errors stay in use.
 constexpr double errorShareMargin = 0.25;
 constexpr Base::Duration initialEjection = std::chrono::seconds(1);
 
--- a/Source/Dispatch/prefillpauses.cpp
+++ b/Source/Dispatch/prefillpauses.cpp
@@ -18,9 +18,8 @@
 /// at least this share, and late if it is longer by at least this share. The probability rises linearly between the two.
 constexpr double uncertainty = 0.2;
 /// The longest prefill within this period is taken as the prediction for an engine. This keeps streams that allow only short
-/// pauses away from an engine between two long prefills. If the period is too long, each engine has had a long prefill within it.
-/// Where responses take 2.6 s, the served share of the attainable value was 0.701 with 2 s, 0.707 with 4 s and 0.709 with 8 s
-/// (means of 10, 15 and 15 simulated days).
+/// pauses away from an engine between two long prefills. With a period shorter than a typical response (2.6 s), slightly fewer
+/// runs are on time. With one that is too long, each engine has had a long prefill within it.
 constexpr Duration recentPeriod = std::chrono::seconds(4);
 /// Bursts are kept for this time, which is longer than any active run has lasted.
 constexpr Duration burstRetention = std::chrono::seconds(30);
--- a/Source/Dispatch/shard.cpp
+++ b/Source/Dispatch/shard.cpp
@@ -54,8 +54,7 @@
 /// Limits on the asks that are evaluated and skipped because no endpoint can take them. The limit is low for each ask and
 /// release, because hundreds of them arrive in a second and each evaluation costs about 0.5 us per endpoint. It is higher for a
 /// tick, so that asks further back in the queue find the engine that keeps their prompts. With a limit of 24 for each event, the
-/// dispatcher of 90 engines used up its processor time on evaluations in a burst of long prompts. On a simulated day the fleet
-/// then served 0.39 of the attainable value in time, against 0.74 in a simulation that charges no processor time.
+/// dispatcher of 90 engines used up its processor time on evaluations in a burst of long prompts, and many requests were late.
 constexpr std::size_t maxSkippedPerEvent = 3;
 constexpr std::size_t maxSkippedPerTick = 64;
 constexpr std::size_t maxEjectedDivisor = 3; ///< at most a third of the endpoints are ejected because the others are better
--- a/Source/Dispatch/shardmap.cpp
+++ b/Source/Dispatch/shardmap.cpp
@@ -23,11 +23,11 @@
 /// Share of a dispatcher's processor time for scheduling decisions at the rate below. The remaining time is for its own callers,
 /// messages and bursts.
 constexpr double cpuShareForDecisions = 1.0 / 3.0;
-/// Requests per second for each endpoint at the target size of 5,600 requests per second and 600 endpoints. The present largest
-/// deployment has a third of this rate.
+/// Requests per second for each endpoint at the target size of 5,600 requests per second and 600 endpoints. The largest
+/// deployment at present has a third of this rate.
 constexpr double decisionsPerSecondPerEndpoint = 9.3;
-/// Processor time of one decision for each endpoint of the shard. Measured as 0.044 of a core with 320 endpoints and 960 requests
-/// per second (busiest host on a day of high load of the large deployment, including its own callers).
+/// Processor time of one decision for each endpoint of the shard. Derived from 0.044 of a core for 320 endpoints and 960
+/// requests per second, measured at the busiest host under high load, including the cost of its own callers.
 constexpr double cpuSecondsPerDecisionPerEndpoint = 0.14e-6;
 /// Shard size when the hosts' processors are not known, and the minimum.
 constexpr std::size_t minEndpointsPerShard = 32;
@@ -79,9 +79,8 @@
 /// Returns the intended shard size: the configured one, or the largest that the hosts with the most processor time can dispatch,
 /// since those become dispatchers. Few large shards are better than many small ones. Their dispatchers have more information
 /// about cached prompts, free slots and lost endpoints, and lose less of it when endpoints change their shard; and a home gets
-/// messages from each of them more often. On a day of high load of the large deployment with 320 endpoints, the served share of
-/// the attainable value was 0.49 and 0.53 with ten shards, 0.57 with two, and 0.55 and 0.60 with one (single simulated days,
-/// which differ by 0.03, without a charge for processor time).
+/// messages from each of them more often. Many small shards lower the share of requests that are served in time; larger ones
+/// overload their dispatchers.
 std::size_t endpointsPerShard(const Configuration::Policies &policies, const std::vector<Member> &members)
 {
     if (policies.shardSize > 0) {
--- a/Source/Dispatch/soonestfirsttoken.cpp
+++ b/Source/Dispatch/soonestfirsttoken.cpp
@@ -37,9 +37,9 @@
 /// with more active runs.
 constexpr double loadCostMs = 300.0;
 /// Cost of each run that a prefill pause is expected to make late, in milliseconds of prefill. It directs long prefills to
-/// engines with few streams that allow only short pauses, and such streams to engines with little prefill. For a class that
-/// allows 200 ms between events, where three chunks of a prompt take about that long, it raises the share of runs on time from
-/// 0.70 to 0.78 (trials of twelve simulated days). A cost of 1000 gives no further gain there.
+/// engines with few streams that allow only short pauses, and such streams to engines with little prefill. With a much smaller
+/// cost, more runs of a class that allows 200 ms between events are late, since three chunks of a prompt take about that long. A
+/// larger one has no further benefit.
 constexpr double lateRunMs = 300.0;
 /// Share of the prefill time that is added to the cost for each active run, since these runs wait during a prefill.
 constexpr double interferenceFactor = 0.1;
