--- a/Source/Node/settings.cpp
+++ b/Source/Node/settings.cpp
@@ -26,7 +26,7 @@
     const std::string text = ini.requiredText(section, key);
     const auto address = Base::parseAddress(text);
     if (!address.ok()) {
-        ini.reject(section, key, "an IPv4 number and a port such as 127.0.0.1:8080");
+        ini.reject(section, key, "an IPv4 address and a port such as 127.0.0.1:8080");
         return {};
     }
     return *address;
@@ -171,7 +171,7 @@
     settings.peerListen = requiredAddress(ini, "listen", "peer");
     settings.advertisedPeer = ini.text("peers", "advertised", settings.peerListen.text());
     if (!Base::parseAddress(settings.advertisedPeer).ok()) {
-        ini.reject("peers", "advertised", "an IPv4 number and a port");
+        ini.reject("peers", "advertised", "an IPv4 address and a port");
     }
     settings.seeds = parseSeeds(ini);
     const auto form = Base::valueOf(platformFormNames, ini.text("platform", "form", "table"));
@@ -188,7 +188,7 @@
     if (const std::string dutyAddress = ini.text("usage", "address", ""); !dutyAddress.empty()) {
         const auto address = Base::parseAddress(dutyAddress);
         if (!address.ok()) {
-            ini.reject("usage", "address", "an IPv4 number and a port");
+            ini.reject("usage", "address", "an IPv4 address and a port");
         }
         settings.dutyAddress = address.value_or(Base::Address {});
     }
--- a/Source/Request/home.cpp
+++ b/Source/Request/home.cpp
@@ -55,7 +55,7 @@
 absl::Status quarantineError()
 {
     return makeError(ErrorKind::CrashesEndpoints,
-                     "endpoints crashed while they ran this request; it is quarantined and must not be repeated");
+                     "endpoints crashed while they ran this request; it is quarantined and not run again for now");
 }
 
 /// Returns whether the intended endpoint may have received any part of the request.
--- a/Tests/Node/settingstest.cpp
+++ b/Tests/Node/settingstest.cpp
@@ -53,7 +53,7 @@
 
 TEST(Settings, malformedAddressIsRejected)
 {
-    STRCMP_CONTAINS("[listen] peer: expected an IPv4 number", errorOf(replaced("127.0.0.1:8082", "localhost:8082")).c_str());
+    STRCMP_CONTAINS("[listen] peer: expected an IPv4 address", errorOf(replaced("127.0.0.1:8082", "localhost:8082")).c_str());
 }
 
 TEST(Settings, shortSecretIsRejected)
