--- a/Source/Base/ini.cpp
+++ b/Source/Base/ini.cpp
@@ -25,7 +25,7 @@
 {
     std::string_view rest;
     int line = 0;
-    std::optional<std::string> longValue; ///< value of the present line, if the line does not fit into inih's buffer
+    std::optional<std::string> longValue; ///< value of the current line, if the line does not fit into inih's buffer
     int unreadableLine = 0; ///< first line that is too long and is not `key = value`; 0 if there is none
     std::vector<IniEntry> entries;
 };
@@ -176,30 +176,30 @@
     return entry->value;
 }
 
-std::int64_t IniFile::number(std::string_view section, std::string_view key, std::int64_t fallback, std::int64_t least,
-                             std::int64_t most)
+std::int64_t IniFile::number(std::string_view section, std::string_view key, std::int64_t fallback, std::int64_t min,
+                             std::int64_t max)
 {
     const IniEntry *entry = find(section, key);
     if (entry == nullptr) {
         return fallback;
     }
     std::int64_t value = 0;
-    if (!parseInteger(entry->value, &value) || value < least || value > most) {
-        reject(section, key, fmt::format("a whole number from {} to {}", least, most));
+    if (!parseInteger(entry->value, &value) || value < min || value > max) {
+        reject(section, key, fmt::format("a whole number from {} to {}", min, max));
         return fallback;
     }
     return value;
 }
 
-double IniFile::decimal(std::string_view section, std::string_view key, double fallback, double least, double most)
+double IniFile::decimal(std::string_view section, std::string_view key, double fallback, double min, double max)
 {
     const IniEntry *entry = find(section, key);
     if (entry == nullptr) {
         return fallback;
     }
     double value = 0;
-    if (!parseDecimal(entry->value, &value) || std::isnan(value) || value < least || value > most) {
-        reject(section, key, fmt::format("a number from {} to {}", least, most));
+    if (!parseDecimal(entry->value, &value) || std::isnan(value) || value < min || value > max) {
+        reject(section, key, fmt::format("a number from {} to {}", min, max));
         return fallback;
     }
     return value;
--- a/Source/Base/ini.h
+++ b/Source/Base/ini.h
@@ -47,12 +47,12 @@
     /// Returns the value of a key that is required and must not be empty.
     std::string requiredText(std::string_view section, std::string_view key);
 
-    /// Returns a whole number from @p least to @p most, or @p fallback if the file does not have the key.
-    std::int64_t number(std::string_view section, std::string_view key, std::int64_t fallback, std::int64_t least,
-                        std::int64_t most);
+    /// Returns a whole number from @p min to @p max, or @p fallback if the file does not have the key.
+    std::int64_t number(std::string_view section, std::string_view key, std::int64_t fallback, std::int64_t min,
+                        std::int64_t max);
 
-    /// Returns a decimal number from @p least to @p most, or @p fallback if the file does not have the key.
-    double decimal(std::string_view section, std::string_view key, double fallback, double least, double most);
+    /// Returns a decimal number from @p min to @p max, or @p fallback if the file does not have the key.
+    double decimal(std::string_view section, std::string_view key, double fallback, double min, double max);
 
     /// Returns whether the value is `yes` rather than `no`, or @p fallback if the file does not have the key.
     bool flag(std::string_view section, std::string_view key, bool fallback);
--- a/Source/Dispatch/health.cpp
+++ b/Source/Dispatch/health.cpp
@@ -75,7 +75,7 @@
         m_probesPassed = 0;
         m_consecutiveFailures = 0;
         m_consecutiveErrors = 0;
-        // Observations from before the ejection say nothing about the present state.
+        // Observations from before the ejection say nothing about the current state.
         m_runs = 0;
         m_responses = 0;
         m_errorShare = 0;
--- a/Source/Dispatch/order.cpp
+++ b/Source/Dispatch/order.cpp
@@ -173,7 +173,7 @@
     return found;
 }
 
-const TieredOrder::ClassQueue *TieredOrder::leastSlack(const Tier &tier, Base::Instant now, Base::Duration expected)
+const TieredOrder::ClassQueue *TieredOrder::classWithMinSlack(const Tier &tier, Base::Instant now, Base::Duration expected)
 {
     const ClassQueue *best = nullptr;
     std::pair<bool, Base::Instant> bestRank;
@@ -223,7 +223,7 @@
         m_overdueCredit = 0;
     }
     const auto tier = std::ranges::find_if(m_tiers, [](const auto &entry) { return !entry.second.byDeadline.empty(); });
-    return nextByFairness(*leastSlack(tier->second, now, expected), now, expected);
+    return nextByFairness(*classWithMinSlack(tier->second, now, expected), now, expected);
 }
 
 std::optional<QueuedAsk> TieredOrder::serve(AskKey key)
--- a/Source/Dispatch/order.h
+++ b/Source/Dispatch/order.h
@@ -141,7 +141,7 @@
     /// Returns the class that has waited longest relative to its starvation bound, or null if none is past it.
     const ClassQueue *overdueClass(Base::Instant now) const;
     /// Returns the class of the tier with the least slack; classes that only have late asks come last.
-    static const ClassQueue *leastSlack(const Tier &tier, Base::Instant now, Base::Duration expected);
+    static const ClassQueue *classWithMinSlack(const Tier &tier, Base::Instant now, Base::Duration expected);
     /// Returns the next ask of the class by fair queueing, preferring one that can still meet its target.
     static AskKey nextByFairness(const ClassQueue &queue, Base::Instant now, Base::Duration expected);
     /// Adds the cost of a served ask to the virtual time of its organisation.
--- a/Source/Dispatch/placement.h
+++ b/Source/Dispatch/placement.h
@@ -21,7 +21,7 @@
 
 namespace Yokepond::Dispatch {
 
-/// An endpoint that could take the run, with its present load and its concurrency limit.
+/// An endpoint that could take the run, with its current load and its concurrency limit.
 struct Candidate
 {
     std::uint32_t endpoint = 0;
@@ -61,7 +61,7 @@
 };
 
 /// The endpoint with the shortest prefill backlog before a prompt of some rank.
-struct LeastBacklog
+struct MinBacklog
 {
     std::uint32_t endpoint = 0;
     Base::Duration time {};
@@ -70,7 +70,7 @@
 template<typename T>
 concept PlacementPolicy = requires(T placement, const T &constant, const QueuedAsk &ask, std::span<const Candidate> candidates,
                                    std::uint32_t endpoint, const Candidate &candidate, Base::Instant now, const PlacedRun &run,
-                                   const ObservedTokens &seen, const LeastBacklog &least) {
+                                   const ObservedTokens &seen, const MinBacklog &shortest) {
     /// Returns the endpoint to use now, or nothing if waiting is better. @p candidates is never empty.
     {
         constant.choose(ask, candidates, now)
@@ -81,11 +81,11 @@
     } -> std::same_as<Base::Duration>;
     /// Returns the candidate with the shortest backlog for prompts of a rank.
     {
-        constant.leastBacklog(1, candidates, now)
-    } -> std::same_as<LeastBacklog>;
-    /// Returns an upper bound of expectedFirstToken() for the candidates from which @p least was found, in constant time.
+        constant.minBacklog(1, candidates, now)
+    } -> std::same_as<MinBacklog>;
+    /// Returns an upper bound of expectedFirstToken() for the candidates from which @p shortest was found, in constant time.
     {
-        constant.firstTokenUpperBound(ask, least)
+        constant.firstTokenUpperBound(ask, shortest)
     } -> std::same_as<Base::Duration>;
     /// Returns for how long the prompt of @p ask occupies an endpoint; zero if the policy has no model of engines.
     {
@@ -109,11 +109,11 @@
     {
         return {};
     }
-    LeastBacklog leastBacklog(int, std::span<const Candidate>, Base::Instant) const
+    MinBacklog minBacklog(int, std::span<const Candidate>, Base::Instant) const
     {
         return {};
     }
-    Base::Duration firstTokenUpperBound(const QueuedAsk &, const LeastBacklog &) const
+    Base::Duration firstTokenUpperBound(const QueuedAsk &, const MinBacklog &) const
     {
         return {};
     }
--- a/Source/Dispatch/shard.h
+++ b/Source/Dispatch/shard.h
@@ -139,7 +139,7 @@
     /// Evicts one ask if the queue is over its limit.
     void shedOverLimit(const QueuedAsk &newAsk);
     /// Returns whether the ask has passed its deadline, or, with the setting hopeless-shedding, would pass it in the queue at the
-    /// present rate of grants.
+    /// current rate of grants.
     bool willMissDeadline(Base::Instant now, const QueuedAsk &ask) const;
     void refuse(const QueuedAsk &ask, Peer::RefusalReason reason);
     void refuse(const QueuedAsk &ask, Peer::RefusalReason reason, Base::Duration retryAfter);
@@ -173,7 +173,7 @@
     bool isAllowed(Base::Instant now, const QueuedAsk &ask, std::uint32_t endpoint) const;
     /// Returns the expected time from a grant to the first token; zero without observations.
     Base::Duration expectedFirstToken() const;
-    /// Returns the time that the queue needs to drain at the present rate of grants, within bounds.
+    /// Returns the time that the queue needs to drain at the current rate of grants, within bounds.
     Base::Duration retryAfter() const;
     static Base::Duration retryAfterLate(const QueuedAsk &ask, const WaitEstimate &estimate);
     /// Returns the load of the shard: the queued asks and the permits per thousand slots of the endpoints' windows.
--- a/Source/Dispatch/shardmap.cpp
+++ b/Source/Dispatch/shardmap.cpp
@@ -51,7 +51,7 @@
 /// when one is added or removed.
 std::vector<std::vector<const Endpoint *>> assignToShards(const std::vector<const Endpoint *> &endpoints, std::size_t shards)
 {
-    const std::size_t most = (endpoints.size() + shards - 1) / shards;
+    const std::size_t maxShardSize = (endpoints.size() + shards - 1) / shards;
     std::vector<std::vector<const Endpoint *>> divided(shards);
     std::vector<std::pair<std::uint64_t, const Endpoint *>> hashed;
     std::ranges::transform(endpoints, std::back_inserter(hashed),
@@ -60,7 +60,7 @@
     std::ranges::sort(hashed, {}, [](const auto &entry) { return entry.first; });
     for (const auto &[hash, endpoint] : hashed) {
         auto open = std::views::iota(std::size_t {0}, shards)
-            | std::views::filter([&](std::size_t index) { return divided[index].size() < most; });
+            | std::views::filter([&](std::size_t index) { return divided[index].size() < maxShardSize; });
         const auto weight = [own = hash](std::size_t index) { return Base::combineHashes(own, index + 1); };
         divided[*std::ranges::max_element(open, {}, weight)].push_back(endpoint);
     }
@@ -86,8 +86,9 @@
     if (policies.shardSize > 0) {
         return policies.shardSize;
     }
-    const auto most = std::ranges::max_element(members, {}, &Member::milliCores);
-    return most == members.end() ? minEndpointsPerShard : std::max(minEndpointsPerShard, maxEndpointsForCpu(most->milliCores));
+    const auto strongest = std::ranges::max_element(members, {}, &Member::milliCores);
+    return strongest == members.end() ? minEndpointsPerShard
+                                      : std::max(minEndpointsPerShard, maxEndpointsForCpu(strongest->milliCores));
 }
 
 /// Returns the number of shards for a number of endpoints. If the size is computed from the hosts' processors, the result is a
--- a/Source/Dispatch/soonestfirsttoken.cpp
+++ b/Source/Dispatch/soonestfirsttoken.cpp
@@ -268,8 +268,8 @@
     }
     const bool mostUrgent = ask.parameters.tightestAbove == Base::Duration::zero();
     const double share = mostUrgent ? runningMemoryShareOfMostUrgent : runningMemoryShare;
-    const auto most = static_cast<std::uint64_t>(share * static_cast<double>(candidate.kvCacheTokens));
-    return engine->runningTokens + kvTokens <= most;
+    const auto maxRunningTokens = static_cast<std::uint64_t>(share * static_cast<double>(candidate.kvCacheTokens));
+    return engine->runningTokens + kvTokens <= maxRunningTokens;
 }
 
 std::optional<std::uint32_t> SoonestFirstToken::choose(const QueuedAsk &ask, std::span<const Candidate> candidates,
@@ -306,25 +306,25 @@
     return best;
 }
 
-LeastBacklog SoonestFirstToken::leastBacklog(int rank, std::span<const Candidate> candidates, Base::Instant now) const
+MinBacklog SoonestFirstToken::minBacklog(int rank, std::span<const Candidate> candidates, Base::Instant now) const
 {
-    LeastBacklog least {0, Base::Duration::max()};
+    MinBacklog shortest {0, Base::Duration::max()};
     for (const Candidate &candidate : candidates) {
-        if (const Base::Duration backlog = backlogAt(candidate.endpoint, rank, now); backlog < least.time) {
-            least = {candidate.endpoint, backlog};
+        if (const Base::Duration backlog = backlogAt(candidate.endpoint, rank, now); backlog < shortest.time) {
+            shortest = {candidate.endpoint, backlog};
         }
     }
-    return least;
+    return shortest;
 }
 
-Base::Duration SoonestFirstToken::firstTokenUpperBound(const QueuedAsk &ask, const LeastBacklog &least) const
+Base::Duration SoonestFirstToken::firstTokenUpperBound(const QueuedAsk &ask, const MinBacklog &shortest) const
 {
-    if (least.time == Base::Duration::max()) {
-        return least.time;
+    if (shortest.time == Base::Duration::max()) {
+        return shortest.time;
     }
     // Transfers need no term of their own, since one is used only if it takes less time than the prefill at the pool's speed.
     const std::uint32_t tokens = ask.ask.promptTokens;
-    return least.time + std::max(timeToPrefill(tokens), timeToPrefill(engineOf(least.endpoint), tokens)) + overhead;
+    return shortest.time + std::max(timeToPrefill(tokens), timeToPrefill(engineOf(shortest.endpoint), tokens)) + overhead;
 }
 
 Base::Duration SoonestFirstToken::timeToFirstToken(const QueuedAsk &ask, const Candidate &candidate, const Keeper &keeper,
@@ -424,7 +424,7 @@
 {
     const Base::Duration prefillTime = std::max(firstToken - overhead, firstToken / 2);
     const double ratio = std::clamp(Base::milliseconds(run.expectedFirstToken) / Base::milliseconds(prefillTime), 0.5, 2.0);
-    // The expected time was computed with the speed estimated when the run was placed, which is close to the present estimate.
+    // The expected time was computed with the speed estimated when the run was placed, which is close to the current estimate.
     const auto learned = [&](double estimated) {
         const double change = estimated * ratio - estimated;
         const double share = change > 0 ? latestWeightIfFaster : latestWeightIfSlower;
--- a/Source/Dispatch/soonestfirsttoken.h
+++ b/Source/Dispatch/soonestfirsttoken.h
@@ -28,8 +28,8 @@
 public:
     std::optional<std::uint32_t> choose(const QueuedAsk &ask, std::span<const Candidate> candidates, Base::Instant now) const;
     Base::Duration expectedFirstToken(const QueuedAsk &ask, std::span<const Candidate> candidates, Base::Instant now) const;
-    LeastBacklog leastBacklog(int rank, std::span<const Candidate> candidates, Base::Instant now) const;
-    Base::Duration firstTokenUpperBound(const QueuedAsk &ask, const LeastBacklog &least) const;
+    MinBacklog minBacklog(int rank, std::span<const Candidate> candidates, Base::Instant now) const;
+    Base::Duration firstTokenUpperBound(const QueuedAsk &ask, const MinBacklog &shortest) const;
     Base::Duration expectedPrefillTime(const QueuedAsk &ask) const;
     PlacedRun recordPlacement(const QueuedAsk &ask, const Candidate &candidate, Base::Instant now);
     void recordEnd(const PlacedRun &run, const ObservedTokens &seen);
@@ -63,7 +63,7 @@
     {
         std::uint32_t endpoint = 0; ///< 0 for none
         std::uint32_t tokens = 0; ///< length of the prefix
-        Base::Duration transferDelay {}; ///< time until its present transfers end
+        Base::Duration transferDelay {}; ///< time until its current transfers end
     };
 
     /// The work that an engine has to do before the first token of a run.
--- a/Source/Dispatch/waitestimates.cpp
+++ b/Source/Dispatch/waitestimates.cpp
@@ -61,12 +61,12 @@
     const Instant start = m_now + std::max(advertisedWait, prefillWait);
     return std::visit(
         [&](const auto &placement) {
-            const auto [least, added] = m_leastBacklogs.try_emplace(ask.parameters.rank);
+            const auto [entry, added] = m_minBacklogs.try_emplace(ask.parameters.rank);
             if (added) {
-                least->second = placement.leastBacklog(ask.parameters.rank, m_usable, m_now);
+                entry->second = placement.minBacklog(ask.parameters.rank, m_usable, m_now);
             }
-            const Duration atMost = placement.firstTokenUpperBound(ask, least->second);
-            if (atMost < Duration::max() && start + atMost <= ask.target()) {
+            const Duration upperBound = placement.firstTokenUpperBound(ask, entry->second);
+            if (upperBound < Duration::max() && start + upperBound <= ask.target()) {
                 return Duration::zero();
             }
             return std::max(Duration::zero(), start + placement.expectedFirstToken(ask, m_usable, m_now) - ask.target());
--- a/Source/Dispatch/waitestimates.h
+++ b/Source/Dispatch/waitestimates.h
@@ -62,7 +62,7 @@
     std::vector<Candidate> m_usable;
     std::optional<bool> m_allHaveCooldowns; ///< for at least one home
     std::map<std::uint64_t, Base::Duration> m_cooldowns; ///< by home
-    std::map<int, LeastBacklog> m_leastBacklogs; ///< by rank
+    std::map<int, MinBacklog> m_minBacklogs; ///< by rank
     std::optional<std::optional<PooledRate>> m_rate;
 };
 
--- a/Source/Dispatch/window.cpp
+++ b/Source/Dispatch/window.cpp
@@ -48,7 +48,7 @@
 void AdaptiveWindow::observe(const Observation &observation, Base::Instant now)
 {
     if (missesTargets(observation)) {
-        // Runs that started before the last decrease say nothing about the present window.
+        // Runs that started before the last decrease say nothing about the current window.
         if (now - m_lastDecrease >= decreasePeriod) {
             m_lastDecrease = now;
             m_size = std::max(1.0, m_size * decreaseFactor);
--- a/Source/Membership/swim.h
+++ b/Source/Membership/swim.h
@@ -146,7 +146,7 @@
     SwimOptions m_options;
     std::mt19937_64 m_random;
     std::map<std::string, Peer::Member> m_members;
-    std::map<std::string, Base::Instant> m_suspectOrDeadSince; ///< when a member reached its present state, suspect or dead
+    std::map<std::string, Base::Instant> m_suspectOrDeadSince; ///< when a member reached its current state, suspect or dead
     std::set<std::string> m_fullTableDue; ///< members whose next message carries the full member table
     std::vector<std::string> m_seeds;
     std::vector<std::string> m_probeRound; ///< members that are still to be probed in this round
--- a/Source/Node/daemon.cpp
+++ b/Source/Node/daemon.cpp
@@ -298,8 +298,8 @@
 {
     const std::string member = m_fleet->memberByAddress(lost.address);
     if (!member.empty()) {
-        m_home.memberLost(Base::now(), member);
-        m_frontend->forwarder().memberLost(member);
+        m_home.connectionLost(Base::now(), member);
+        m_frontend->forwarder().connectionLost(member);
     }
 }
 
--- a/Source/Node/fleet.cpp
+++ b/Source/Node/fleet.cpp
@@ -39,7 +39,7 @@
 constexpr Base::Duration substituteDuration = std::chrono::seconds(4);
 /// A host receives a message from another at least once per membership period. After three periods without one it may have missed
 /// changes.
-constexpr Base::Duration peerSilenceLimit = std::chrono::milliseconds(1200);
+constexpr Base::Duration peerUnresponsiveTimeout = std::chrono::milliseconds(1200);
 
 /// Whether Fleet handles messages of type @p Kind. A test for a callable overload would not work here: any kind of message
 /// converts to Peer::Message, so it would hold for all of them.
@@ -361,17 +361,17 @@
     selectFollowers(presentMembers);
     for (const auto &[name, before] : m_lastMembers) {
         const auto now = members().find(name);
-        const bool isGone = now == members().end() || now->second.state == Peer::MemberState::Dead;
-        const bool wasGone = before.state == Peer::MemberState::Dead;
-        if (isGone && !wasGone) {
+        const bool isDead = now == members().end() || now->second.state == Peer::MemberState::Dead;
+        const bool wasDead = before.state == Peer::MemberState::Dead;
+        if (isDead && !wasDead) {
             m_callbacks.incarnationEnded(name, 0);
-        } else if (!isGone && now->second.incarnation != before.incarnation) {
+        } else if (!isDead && now->second.incarnation != before.incarnation) {
             m_callbacks.incarnationEnded(name, now->second.incarnation);
         }
-        if (!isGone && now->second.state != before.state) {
+        if (!isDead && now->second.state != before.state) {
             Base::log(Base::LogLevel::Info, Base::LogEvent::MemberChanged,
                       {{"member", name}, {"state", Base::nameOf(Peer::memberStateNames, now->second.state)}});
-        } else if (isGone && !wasGone) {
+        } else if (isDead && !wasDead) {
             Base::log(Base::LogLevel::Warning, Base::LogEvent::MemberChanged, {{"member", name}, {"state", "dead"}});
         }
     }
@@ -517,9 +517,9 @@
         return FollowReason::Selected;
     }
     if (now < m_substituteUntil) {
-        return FollowReason::FollowerSilent;
+        return FollowReason::FollowerUnresponsive;
     }
-    const bool alone = now - m_swim.lastContact() > peerSilenceLimit;
+    const bool alone = now - m_swim.lastContact() > peerUnresponsiveTimeout;
     return alone ? std::optional(FollowReason::Alone) : std::nullopt;
 }
 
--- a/Source/Node/fleet.h
+++ b/Source/Node/fleet.h
@@ -43,7 +43,7 @@
     Selected, ///< selected by rank as one of the followers of the fleet
     Alone, ///< it receives no messages from other hosts
     NoConfiguration, ///< it has no configuration yet
-    FollowerSilent, ///< a selected follower answered neither this host's probes nor indirect ones
+    FollowerUnresponsive, ///< a selected follower responded neither to this host's probes nor to indirect ones
     Requested, ///< a selected follower without responses from the store asked this host to follow
 };
 
@@ -51,7 +51,7 @@
     {FollowReason::Selected, "picked"},
     {FollowReason::Alone, "alone"},
     {FollowReason::NoConfiguration, "no-configuration"},
-    {FollowReason::FollowerSilent, "follower-silent"},
+    {FollowReason::FollowerUnresponsive, "follower-silent"},
     {FollowReason::Requested, "asked"},
 }};
 
--- a/Source/Node/forwarder.cpp
+++ b/Source/Node/forwarder.cpp
@@ -111,7 +111,7 @@
     std::ranges::for_each(lost, m_callbacks.homeLost);
 }
 
-void Forwarder::memberLost(const std::string &member)
+void Forwarder::connectionLost(const std::string &member)
 {
     for (auto &[id, pending] : m_pending) {
         if (pending.member == member) {
--- a/Source/Node/forwarder.h
+++ b/Source/Node/forwarder.h
@@ -56,7 +56,7 @@
     void membersChanged();
 
     /// Resends the requests forwarded to @p member after a short delay, since messages to it may have been lost.
-    void memberLost(const std::string &member);
+    void connectionLost(const std::string &member);
 
     void tick(Base::Instant now);
 
--- a/Source/Peer/edge.cpp
+++ b/Source/Peer/edge.cpp
@@ -272,8 +272,8 @@
         fail(exception.getDescription().cStr());
     }
 
-    /// Runs @p task. If it fails, it closes the present connection only if the task belongs to it. Calls of a connection that was
-    /// closed before fail later, one by one, and must not close the present one.
+    /// Runs @p task. If it fails, it closes the current connection only if the task belongs to it. Calls of a connection that was
+    /// closed before fail later, one by one, and must not close the current one.
     void watch(kj::Promise<void> task)
     {
         const auto generation = m_generation;
@@ -388,7 +388,7 @@
     std::string m_peerName;
     std::uint64_t m_peerIncarnation = 0;
     State m_state = State::Idle;
-    std::uint64_t m_generation = 0; ///< number of the present connection; grows when it is closed
+    std::uint64_t m_generation = 0; ///< number of the current connection; grows when it is closed
     unsigned int m_inFlight = 0;
     std::vector<Message> m_queue;
     kj::Own<OpenedConnection> m_connection;
--- a/Source/Request/home.cpp
+++ b/Source/Request/home.cpp
@@ -688,7 +688,7 @@
     }
 }
 
-void Home::memberLost(Instant now, const std::string &member)
+void Home::connectionLost(Instant now, const std::string &member)
 {
     m_unreachable.insert(member);
     // Releases may have been lost. The dispatcher drops each permit that is missing from two reports.
@@ -735,9 +735,9 @@
     enforceQuarantine(now);
     std::vector<std::uint64_t> due;
     for (auto &[id, pending] : m_pending) {
-        const bool silent
+        const bool unresponsive
             = pending.phase == Phase::Asking && !pending.queuedAtDispatcher && now - pending.askedAt >= dispatcherTimeout;
-        if (silent) {
+        if (unresponsive) {
             bypassDispatcher(now, pending);
         }
     }
--- a/Source/Request/home.h
+++ b/Source/Request/home.h
@@ -113,7 +113,7 @@
     void failWaiting(Base::Instant now, const absl::Status &error);
 
     /// Handles the loss of the connection to @p member. Messages in both directions may have been lost.
-    void memberLost(Base::Instant now, const std::string &member);
+    void connectionLost(Base::Instant now, const std::string &member);
 
     /// Handles timeouts, delayed retries and periodic reports; to be called regularly.
     void tick(Base::Instant now);
--- a/Source/Scaling/scaler.h
+++ b/Source/Scaling/scaler.h
@@ -145,7 +145,7 @@
     std::vector<PoolBaseline> m_baselines;
     Base::Instant m_baselinesGrewAt {};
     std::vector<SentOrder> m_sent; ///< latest order for each pool, data centre and kind; in a dry run the logged ones
-    std::optional<Base::Instant> m_neededSince; ///< start of the present time in which orders are needed
+    std::optional<Base::Instant> m_neededSince; ///< start of the current period in which orders are needed
     Base::Instant m_lastRegularOrder {}; ///< time of the last order for regular endpoints, which usually gives some up
     Base::Instant m_nextRead {};
     Base::Instant m_nextAttempt {}; ///< earliest time for an action after a failed one
--- a/Source/Usage/usagecounts.cpp
+++ b/Source/Usage/usagecounts.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Hosts send their counts each second. The clock of one that has been silent for longer than this is not used.
+/// Hosts send their counts each second. The clock of a host that has sent none for longer than this is not used.
 constexpr Base::Duration recentTime = std::chrono::seconds(5);
 
 } // namespace
@@ -41,9 +41,9 @@
     return entries;
 }
 
-void HostCounts::removeExpired(WindowNumber present)
+void HostCounts::removeExpired(WindowNumber current)
 {
-    std::erase_if(m_windows, [&](const auto &entry) { return entry.first + keptWindows < present; });
+    std::erase_if(m_windows, [&](const auto &entry) { return entry.first + keptWindows < current; });
 }
 
 void HostCounts::clear()
@@ -98,10 +98,10 @@
         m_processes | std::views::values, [&](const ProcessCounts &process) { return now - process.receivedAt <= recentTime; }));
 }
 
-void FleetCounts::removeExpired(WindowNumber present)
+void FleetCounts::removeExpired(WindowNumber current)
 {
     for (ProcessCounts &process : m_processes | std::views::values) {
-        std::erase_if(process.windows, [&](const auto &entry) { return entry.first + keptWindows < present; });
+        std::erase_if(process.windows, [&](const auto &entry) { return entry.first + keptWindows < current; });
     }
     std::erase_if(m_processes, [](const auto &entry) { return entry.second.windows.empty(); });
 }
--- a/Source/Usage/usagecounts.h
+++ b/Source/Usage/usagecounts.h
@@ -40,8 +40,8 @@
     /// Returns the counts of all windows after @p fixedUpTo. A collector replaces the host's earlier counts of these windows.
     std::vector<Peer::UsageEntry> entries(WindowNumber fixedUpTo) const;
 
-    /// Removes windows that are older than the last keptWindows before @p present.
-    void removeExpired(WindowNumber present);
+    /// Removes windows that are older than the last keptWindows before @p current.
+    void removeExpired(WindowNumber current);
 
     /// Removes all counts, because the host's clock was corrected and they do not belong to the fleet's windows.
     void clear();
@@ -67,8 +67,8 @@
     /// Returns the number of hosts that sent counts recently.
     std::size_t recentHosts(Base::Instant now) const;
 
-    /// Removes windows that are older than the last keptWindows before @p present.
-    void removeExpired(WindowNumber present);
+    /// Removes windows that are older than the last keptWindows before @p current.
+    void removeExpired(WindowNumber current);
 
 private:
     struct ProcessCounts
--- a/Tests/Base/suspensiontest.cpp
+++ b/Tests/Base/suspensiontest.cpp
@@ -53,7 +53,7 @@
 
 TEST(Suspension, timersThatExpiredDuringSuspensionFire)
 {
-    constexpr int mostTicks = 200;
+    constexpr int maxTicks = 200;
     Base::Loop loop;
     bool fired = false;
     int ticks = 0;
@@ -62,7 +62,7 @@
         loop.stop();
     });
     const auto tick = loop.every(std::chrono::milliseconds(5), [&] {
-        if (++ticks == mostTicks) {
+        if (++ticks == maxTicks) {
             loop.stop();
         }
     });
--- a/Tests/Dispatch/randomtest.cpp
+++ b/Tests/Dispatch/randomtest.cpp
@@ -208,7 +208,7 @@
     void send(const std::string &from, const std::string &to, const Peer::Message &message)
     {
         if (from != to && !m_faultsDisabled && occurs(0.03)) {
-            m_hosts.at(from).home->memberLost(m_now, to);
+            m_hosts.at(from).home->connectionLost(m_now, to);
             return;
         }
         const int copies = from != to && !m_faultsDisabled && occurs(0.02) ? 2 : 1;
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Removes and returns the events that are due, in their present order.
+    /// Removes and returns the events that are due, in their current order.
     template<typename Event>
     std::vector<Event> takeDue(std::vector<Event> &events) const
     {
--- a/Tests/Peer/edgetest.cpp
+++ b/Tests/Peer/edgetest.cpp
@@ -19,12 +19,12 @@
 TEST(Edge, timeoutsOfAClosedConnectionDoNotCloseTheNextOne)
 {
     std::atomic<int> received = 0;
-    auto silentPeer = Edge::start({{"127.0.0.1", 0}, "127.0.0.1:1", "still", 1}, [&](const Event &event) {
+    auto unresponsivePeer = Edge::start({{"127.0.0.1", 0}, "127.0.0.1:1", "still", 1}, [&](const Event &event) {
         if (std::holds_alternative<MessagesReceived>(event)) {
             ++received;
         }
     });
-    CHECK_TRUE(silentPeer.ok());
+    CHECK_TRUE(unresponsivePeer.ok());
     std::atomic<int> lost = 0;
     auto sender = Edge::start({{"127.0.0.1", 0}, "127.0.0.1:2", "sender", 2}, [&](const Event &event) {
         if (std::holds_alternative<MessagesLost>(event)) {
@@ -32,7 +32,7 @@
         }
     });
     CHECK_TRUE(sender.ok());
-    const std::string address = "127.0.0.1:" + std::to_string((*silentPeer)->port());
+    const std::string address = "127.0.0.1:" + std::to_string((*unresponsivePeer)->port());
     // Two calls are in flight on the first connection, begun at different times.
     for (int call = 0; call < 2; ++call) {
         (*sender)->send(address, Withdrawal {{1, 1}, 1});
--- a/Tests/Request/hometest.cpp
+++ b/Tests/Request/hometest.cpp
@@ -199,7 +199,7 @@
     };
     double now = 0.05;
     for (int loss = 0; loss < 80; ++loss, now += 0.05) {
-        home.memberLost(at(now), dispatcher);
+        home.connectionLost(at(now), dispatcher);
         home.tick(at(now));
     }
     countAsks();
@@ -294,7 +294,7 @@
     CHECK_TRUE(trace->back().step == Step::Started);
 }
 
-TEST(Home, silentDispatcherIsBypassedAfterItsTimeout)
+TEST(Home, unresponsiveDispatcherIsBypassedAfterItsTimeout)
 {
     start(1, "routine");
     const Peer::Ask asked = lastAsk();
--- a/Tests/Usage/usagereportertest.cpp
+++ b/Tests/Usage/usagereportertest.cpp
@@ -561,7 +561,7 @@
     CHECK_TRUE(correct * 10 > due * 6);
 }
 
-/// The simulated platform detects a lease without a margin, where the next holder waits no longer than the present one may act.
+/// The simulated platform detects a lease without a margin, where the next holder waits no longer than the current one may act.
 TEST(UsageDuty, detectsALeaseWithoutAMargin)
 {
     std::uint64_t seen = 0;
