--- a/Source/Availability/advertisedavailability.h
+++ b/Source/Availability/advertisedavailability.h
@@ -2,7 +2,7 @@
 // SPDX-FileCopyrightText: 2026 yokepond maintainers
 
 /// @file
-/// What an endpoint advertises in its responses about whether it accepts further requests.
+/// Information in the responses of an endpoint about whether it accepts further requests.
 
 #pragma once
 
--- a/Source/Availability/endpointavailabilities.h
+++ b/Source/Availability/endpointavailabilities.h
@@ -16,7 +16,7 @@
 namespace Yokepond::Availability {
 
 /// Stores the availability of endpoints. The state of an endpoint is kept when its entry in the configuration is removed, since
-/// the entry may come back.
+/// the entry may be added again.
 class EndpointAvailabilities
 {
 public:
--- a/Source/Configuration/schema.h
+++ b/Source/Configuration/schema.h
@@ -55,8 +55,8 @@
 /// Returns the fields of @p kind in the order in which they are shown.
 std::span<const FieldSchema> fieldsOf(Kind kind);
 
-/// Returns the canonical text of @p value for @p field. Fails with ErrorKind::InvalidValue and a message that states what is
-/// expected. Does not check whether the object of a reference exists.
+/// Returns the canonical text of @p value for @p field. Fails with ErrorKind::InvalidValue and a message that describes the
+/// expected values. Does not check whether the object of a reference exists.
 absl::StatusOr<std::string> canonicalValue(const FieldSchema &field, std::string_view value);
 
 /// Returns whether @p name is valid as an object's name: letters, digits, '-', '_' and '.', at most 64 characters, of which the
--- a/Source/Configuration/store.h
+++ b/Source/Configuration/store.h
@@ -78,7 +78,8 @@
     {
     }
 
-    /// Reads the head and the changes that the replica lacks. @p done is told whether the replica has caught up with the head.
+    /// Reads the head and the changes that the replica lacks. Then calls @p done with whether the replica has caught up with
+    /// the head.
     void poll(std::function<void(bool upToDate)> done)
     {
         readHead([this, done = std::move(done)](const absl::StatusOr<Head> &head) {
--- a/Source/Dispatch/endpointstates.h
+++ b/Source/Dispatch/endpointstates.h
@@ -48,7 +48,7 @@
     double transferTokensPerMs = 0; ///< see Configuration::Endpoint
     bool drained = false; ///< drained by an operator, or moved to another shard
     bool leaving = false; ///< listed by the platform as leaving
-    bool replaced = false; ///< another endpoint has its address; this one does not come back
+    bool replaced = false; ///< another endpoint has its address; this one is never used again
     Base::Instant leavingUntil {}; ///< end of the period in which it announced that it is leaving
     bool announcedLeaving = false;
     Rate::RateLimiter rateLimiter;
--- a/Source/Dispatch/placement.h
+++ b/Source/Dispatch/placement.h
@@ -97,7 +97,7 @@
     placement.recordEnd(run, seen);
     /// Marks an endpoint that fails or leaves: other endpoints can no longer rely on the prompts in its cache.
     placement.markUnreliable(endpoint);
-    /// Removes an endpoint that will not come back.
+    /// Removes an endpoint permanently.
     placement.removeEndpoint(endpoint);
 };
 
--- a/Source/Dispatch/shard.h
+++ b/Source/Dispatch/shard.h
@@ -131,7 +131,7 @@
     /// Creates the queue and the placement that the configuration asks for, and moves the queued asks to the new queue.
     void buildPolicies();
     void configureEndpoints(Base::Instant now);
-    /// Tells the placement that other engines cannot fetch prompts from the unusable endpoints.
+    /// Marks the unusable endpoints as unreliable in the placement: other engines cannot fetch prompts from them.
     void markUnusableUnreliable();
     void markReplaced(std::uint32_t endpoint);
     PoolParameters poolParameters() const;
--- a/Source/Dispatch/soonestfirsttoken.cpp
+++ b/Source/Dispatch/soonestfirsttoken.cpp
@@ -23,7 +23,7 @@
 constexpr double runningMemoryShareOfMostUrgent = 0.75;
 /// Share of its first-token target that a run may wait in an engine's backlog.
 constexpr double backlogShare = 0.4;
-/// The same for an engine that caches most of the prompt: any other engine would need a full prefill.
+/// The larger share for an engine that caches most of the prompt, since any other engine would need a full prefill.
 constexpr double backlogShareIfCached = 0.6;
 /// Limit on the backlog of an engine, including this run, so that more urgent tiers find engines in time. It is relative to the
 /// shortest first-token target of the more urgent tiers.
--- a/Source/Dispatch/window.h
+++ b/Source/Dispatch/window.h
@@ -13,7 +13,7 @@
 
 namespace Yokepond::Dispatch {
 
-/// What the home of a run observed, with the targets to compare it to.
+/// Observations that the home made of a run, with the targets to compare them to.
 struct Observation
 {
     Base::Duration firstToken {}; ///< time to the first token
--- a/Source/Node/errorresponse.h
+++ b/Source/Node/errorresponse.h
@@ -17,7 +17,7 @@
 /// Returns the body of an error response: `{"error":{"type","code","message","outcome"}}`.
 std::string errorBody(const absl::Status &error, Request::Outcome outcome);
 
-/// Returns the HTTP status for protocols in which the status alone tells the outcome: 4xx for an invalid request, 503 for a
+/// Returns the HTTP status for protocols in which only the status shows the outcome: 4xx for an invalid request, 503 for a
 /// request that has not run, and 502 or 504 for one that may have run.
 int statusByOutcome(const absl::Status &error, Request::Outcome outcome);
 
--- a/Source/Node/fleet.h
+++ b/Source/Node/fleet.h
@@ -98,7 +98,7 @@
     /// at least that version is merged, the revisions of this copy do not include it.
     void markRecordUnconfirmed(const Configuration::Record &record);
 
-    /// Tells Fleet whether the store responds, if StoreFollower calls the store and not Fleet itself.
+    /// Records whether the store responds. To be called if StoreFollower calls the store and not Fleet itself.
     void updateStoreState(Base::Instant now, bool responds);
 
     /// Returns all known members, dead ones and this host included, by name.
--- a/Source/Node/frontend.cpp
+++ b/Source/Node/frontend.cpp
@@ -369,7 +369,7 @@
             const bool callerConnected = m_claiming.erase(call.id) > 0;
             if (result == Request::ClaimResult::Unavailable || (result == Request::ClaimResult::Acquired && !callerConnected)) {
                 // The claim may already be in the table, or may still be written to it. Its token is kept, so that a retry can
-                // tell that the claimed operation has not run.
+                // recognise that the claimed operation has not run.
                 if (m_abandonedClaims.size() < maxAbandonedClaims) {
                     m_abandonedClaims.insert(record.token);
                 }
--- a/Source/Node/frontend.h
+++ b/Source/Node/frontend.h
@@ -154,7 +154,7 @@
     OperationJournal m_journal;
     Forwarder m_forwarder;
     std::unordered_map<std::uint64_t, AdmittedRequest> m_admitted; ///< requests by the relay's call number
-    std::set<std::uint64_t> m_claiming; ///< calls whose claim the table has not answered yet
+    std::set<std::uint64_t> m_claiming; ///< calls whose claim has no response of the table yet
     std::map<std::uint64_t, Base::Instant> m_unusedTickets; ///< time of issue by ticket number
     /// Tokens of claims in the table whose operations have not run; a retry may use them.
     std::set<std::string> m_abandonedClaims;
--- a/Source/Node/pullscheduler.h
+++ b/Source/Node/pullscheduler.h
@@ -19,7 +19,7 @@
     Digest, ///< a digest over several kinds of records: if two differ, each host may have records that the other lacks
 };
 
-/// What to request from another host.
+/// The changes to request from another host.
 enum class Pull {
     None,
     Endpoints, ///< only endpoint records, which are small and urgent, while another host sends all changes
--- a/Source/Peer/message.h
+++ b/Source/Peer/message.h
@@ -115,7 +115,7 @@
     std::uint32_t shard = 0;
 };
 
-/// How a run ended, as its home saw it.
+/// The end of a run as its home observed it.
 enum class RunResult : std::uint8_t {
     Completed,
     NotStarted, ///< the home did not use the grant, for example because its start time had passed
@@ -138,7 +138,7 @@
     {RunResult::EndpointReplaced, "gone"},
 }};
 
-/// Gives a permit back to the dispatcher, with the home's measurements of the run.
+/// Returns a permit to the dispatcher, with the home's measurements of the run.
 struct Release
 {
     AttemptId id;
--- a/Source/Rate/ratestate.h
+++ b/Source/Rate/ratestate.h
@@ -14,7 +14,7 @@
 
 namespace Yokepond::Rate {
 
-/// What a host knows of a limit: nothing, that the endpoint advertises none, or its rate.
+/// The information that a host has about a limit: none yet, that the endpoint advertises no limit, or its rate.
 enum class RateKind : std::uint8_t { Unknown, Unlimited, Limited };
 
 inline constexpr Base::NameTable<RateKind, 3> rateKindNames = {{
--- a/Source/Request/home.cpp
+++ b/Source/Request/home.cpp
@@ -623,7 +623,7 @@
     return released;
 }
 
-/// Ends the request in whatever phase it is.
+/// Ends the request in any phase.
 void Home::stopRequest(Instant now, Pending &pending, const absl::Status &error)
 {
     if (pending.phase == Phase::Asking) {
--- a/Source/Request/home.h
+++ b/Source/Request/home.h
@@ -72,8 +72,8 @@
 /// is retried. While a dispatcher is unreachable, the home starts runs by itself, within its own share of the endpoints (see
 /// LocalWindow).
 ///
-/// It is a pure state machine: the caller passes in the time, and takeActions() returns what is to be done. Each request ends
-/// with exactly one Fail or Finished action, except one whose caller has disconnected, which ends without an action.
+/// It is a pure state machine: the caller passes in the time, and takeActions() returns the actions to carry out. Each request
+/// ends with exactly one Fail or Finished action, except one whose caller has disconnected, which ends without an action.
 class Home
 {
 public:
--- a/Source/Request/operations.h
+++ b/Source/Request/operations.h
@@ -19,7 +19,7 @@
 
 namespace Yokepond::Request {
 
-/// Limits of what a home remembers of operations.
+/// Limits on the operations that a home remembers.
 struct OperationLimits
 {
     std::size_t responseBytes = 16U << 20U; ///< limit for the bodies of all stored responses
--- a/Source/Request/quarantine.h
+++ b/Source/Request/quarantine.h
@@ -39,8 +39,8 @@
 /// (NewRequest::work): all requests with the same content have the same work. A run that breaks off is reported to the two hosts
 /// that count the crashes of its work. When the number of endpoints that crashed under one work reaches the configured limit,
 /// these two quarantine it at all hosts. A host that has seen the work complete, shortly before the first of these crashes or
-/// later, clears it at all hosts. It is a pure state machine: the caller passes in the time, and takeMessages() returns what is
-/// to be sent.
+/// later, clears it at all hosts. It is a pure state machine: the caller passes in the time, and takeMessages() returns the
+/// messages to send.
 class Quarantine
 {
 public:
@@ -125,7 +125,7 @@
     std::map<std::uint64_t, Entry> m_entries; ///< by work
     std::unordered_map<std::uint64_t, Suspicion> m_suspicions; ///< by work, at hosts that count its crashes
     std::deque<std::uint64_t> m_suspicionOrder; ///< works of m_suspicions, in the order of their first crashes
-    /// By work: time point at which one of its runs last completed at this host.
+    /// Time point at which a run of each work last completed at this host, by work.
     std::unordered_map<std::uint64_t, Base::Instant> m_completed;
     std::deque<std::uint64_t> m_completedOrder; ///< works of m_completed, in the order of their first completions
     std::vector<std::uint64_t> m_newlyQuarantined;
--- a/Source/Request/types.h
+++ b/Source/Request/types.h
@@ -19,7 +19,7 @@
 
 namespace Yokepond::Request {
 
-/// Whether a request ran, as the caller is told.
+/// Whether a request ran, as reported to the caller.
 enum class Outcome { Completed, NotRun, Unknown };
 
 inline constexpr Base::NameTable<Outcome, 3> outcomeNames = {{
@@ -44,7 +44,7 @@
     std::uint64_t work = 0; ///< hash of organisation, path and body: equal at all hosts for requests that ask for the same
 };
 
-/// What the head of a response advertises about its endpoint.
+/// Information about its endpoint that the head of a response advertises.
 struct EndpointAdvertisement
 {
     Rate::AdvertisedRate rate;
@@ -61,7 +61,7 @@
     ResponseComplete, ///< the complete response has been received
 };
 
-/// The end of a run as the relay saw it.
+/// The end of a run as the relay observed it.
 struct RunReport
 {
     Peer::AttemptId id;
--- a/Source/Scaling/scaler.h
+++ b/Source/Scaling/scaler.h
@@ -98,7 +98,7 @@
 };
 
 /// Decides for one host whether it holds the scaling duty, and which orders are due. It is a pure state machine: tick() returns
-/// actions for the caller to carry out, and their results come back through the on...() functions.
+/// actions for the caller to carry out, and their results are passed to the on...() functions.
 class Scaler
 {
 public:
@@ -109,7 +109,7 @@
     std::vector<ScalerAction> tick(Base::Instant now, std::optional<std::size_t> rank, const std::vector<ScaledPool> &pools,
                                    bool idle);
 
-    /// Takes the result of a read. The version is 0 if there is no row; @p row is empty if the store did not answer.
+    /// Takes the result of a read. The version is 0 if there is no row; @p row is empty if the store did not respond.
     void onRowRead(Base::Instant now, const std::optional<Lease::StoredRow> &row);
 
     /// Takes the result of a write. @p row is the stored row if it had another version than expected.
--- a/Source/Usage/usagereporter.h
+++ b/Source/Usage/usagereporter.h
@@ -69,7 +69,7 @@
 
 /// Decides for one host whether it holds the reporting duty, and what it writes and reports. The counts of a window are fixed in
 /// the store before they are first reported, so that all reports of the window are the same, whichever host sends them. It is a
-/// pure state machine: tick() returns actions for the caller to carry out, and their results come back through the on...()
+/// pure state machine: tick() returns actions for the caller to carry out, and their results are passed to the on...()
 /// functions.
 class UsageReporter
 {
@@ -82,7 +82,7 @@
     std::vector<ReporterAction> tick(Base::Instant now, FleetTime time, std::optional<std::size_t> rank,
                                      const FleetCounts &counts);
 
-    /// Takes the result of a read. The version is 0 if there is no row; @p row is empty if the store did not answer.
+    /// Takes the result of a read. The version is 0 if there is no row; @p row is empty if the store did not respond.
     void onRowRead(Base::Instant now, const std::optional<Lease::StoredRow> &row);
 
     /// Takes the result of a write. @p row is the stored row if it had another version than expected.
--- a/Tests/Availability/endpointavailabilitiestest.cpp
+++ b/Tests/Availability/endpointavailabilitiestest.cpp
@@ -40,7 +40,7 @@
     CHECK_TRUE(availabilities.stateOf(7).isCoolingDown(at(2.9)));
 }
 
-/// Guards against requests to a leaving endpoint whose entry was removed and came back, or was replaced by an older one.
+/// Guards against requests to a leaving endpoint whose entry was removed and added again, or was replaced by an older one.
 TEST(EndpointAvailabilities, leavingIsKeptWhenTheEndpointIsUnconfigured)
 {
     availabilities.applyAdvertisement(at(0), 7, {.leaves = true});
--- a/Tests/Dispatch/prefillpausestest.cpp
+++ b/Tests/Dispatch/prefillpausestest.cpp
@@ -51,7 +51,7 @@
 TEST(PrefillPauses, aStreamThatIsLateIsNotCountedAgain)
 {
     pauses.addStream(tight);
-    // The present prefill makes the stream late already, whatever is added to it.
+    // The current prefill alone makes the stream late, so a longer one does not add a late stream.
     DOUBLES_EQUAL(0.0, pauses.expectedNewlyLate(ms(400), ms(800)), 0.001);
     pauses.recordPrefill(at(0), {}, ms(400));
     DOUBLES_EQUAL(0.0, pauses.expectedNewlyLate({}, ms(400)), 0.001);
--- a/Tests/Rate/ratelimitertest.cpp
+++ b/Tests/Rate/ratelimitertest.cpp
@@ -110,7 +110,7 @@
 }
 
 /// Hosts without a dispatcher do not coordinate. Together they start about as many runs as the endpoint accepts, however many
-/// hosts there are, and no host is excluded for good.
+/// hosts there are, and no host is excluded permanently.
 TEST(RateLimiter, hostsWithoutADispatcherTakeTurns)
 {
     constexpr int seconds = 40;
--- a/Tests/Request/fleetloadtest.cpp
+++ b/Tests/Request/fleetloadtest.cpp
@@ -308,7 +308,7 @@
         load.setRate(0, perSecond);
         load.run(std::chrono::seconds(10));
         load.setRate(0, std::nullopt);
-        // Enough time for one run to start at the lowest enforced rate and to be answered.
+        // Enough time for one run to start at the lowest enforced rate and to get its response.
         load.run(std::chrono::seconds(6));
         const std::uint64_t before = load.arrivalsAt(0);
         const std::uint64_t all = load.counts().arrivals;
@@ -406,7 +406,7 @@
     }
 }
 
-/// Guards against an endpoint that stays unused for good after it once announced that it leaves, although its name is in use
+/// Guards against an endpoint that stays unused permanently after it once announced that it leaves, although its name is in use
 /// again.
 TEST(FleetLoad, anEngineThatReturnsAfterLeavingGetsItsShareAgain)
 {
--- a/Tests/Usage/usagereportertest.cpp
+++ b/Tests/Usage/usagereportertest.cpp
@@ -520,7 +520,7 @@
 }
 
 /// Hosts are killed, frozen, cut off and restarted, most often the one that reported last. Clocks are wrong by seconds. The store
-/// and the platform are down or slow, do not answer, or lose responses, also those of writes that are carried out seconds later.
+/// and the platform are down or slow, do not respond, or lose responses, also those of writes that are carried out seconds later.
 TEST(UsageDuty, oneHostReportsAtATimeUnderRandomFaults)
 {
     constexpr std::uint64_t seeds = 200;
