--- a/Source/Node/fleet.h
+++ b/Source/Node/fleet.h
@@ -43,7 +43,7 @@
     Selected, ///< selected by rank as one of the followers of the fleet
     Alone, ///< it receives no messages from other hosts
     NoConfiguration, ///< it has no configuration yet
-    FollowerSilent, ///< a selected follower answered neither this host's probes nor indirect ones
+    FollowerUnresponsive, ///< a selected follower responded neither to this host's probes nor to indirect ones
     Requested, ///< a selected follower without responses from the store asked this host to follow
 };
 
@@ -51,7 +51,7 @@
     {FollowReason::Selected, "picked"},
     {FollowReason::Alone, "alone"},
     {FollowReason::NoConfiguration, "no-configuration"},
-    {FollowReason::FollowerSilent, "follower-silent"},
+    {FollowReason::FollowerUnresponsive, "follower-silent"},
     {FollowReason::Requested, "asked"},
 }};
 
@@ -98,7 +98,7 @@
     /// at least that version is merged, the revisions of this copy do not include it.
     void markRecordUnconfirmed(const Configuration::Record &record);
 
-    /// Tells Fleet whether the store responds, if StoreFollower calls the store and not Fleet itself.
+    /// Records whether the store responds. To be called if StoreFollower calls the store and not Fleet itself.
     void updateStoreState(Base::Instant now, bool responds);
 
     /// Returns all known members, dead ones and this host included, by name.
--- a/Source/Request/home.cpp
+++ b/Source/Request/home.cpp
@@ -55,7 +55,7 @@
 absl::Status quarantineError()
 {
     return makeError(ErrorKind::CrashesEndpoints,
-                     "endpoints crashed while they ran this request; it is quarantined and must not be repeated");
+                     "endpoints crashed while they ran this request; it is quarantined and not run again for now");
 }
 
 /// Returns whether the intended endpoint may have received any part of the request.
@@ -623,7 +623,7 @@
     return released;
 }
 
-/// Ends the request in whatever phase it is.
+/// Ends the request in any phase.
 void Home::stopRequest(Instant now, Pending &pending, const absl::Status &error)
 {
     if (pending.phase == Phase::Asking) {
@@ -688,7 +688,7 @@
     }
 }
 
-void Home::memberLost(Instant now, const std::string &member)
+void Home::connectionLost(Instant now, const std::string &member)
 {
     m_unreachable.insert(member);
     // Releases may have been lost. The dispatcher drops each permit that is missing from two reports.
@@ -735,9 +735,9 @@
     enforceQuarantine(now);
     std::vector<std::uint64_t> due;
     for (auto &[id, pending] : m_pending) {
-        const bool silent
+        const bool unresponsive
             = pending.phase == Phase::Asking && !pending.queuedAtDispatcher && now - pending.askedAt >= dispatcherTimeout;
-        if (silent) {
+        if (unresponsive) {
             bypassDispatcher(now, pending);
         }
     }
--- a/Source/Request/home.h
+++ b/Source/Request/home.h
@@ -72,8 +72,8 @@
 /// is retried. While a dispatcher is unreachable, the home starts runs by itself, within its own share of the endpoints (see
 /// LocalWindow).
 ///
-/// It is a pure state machine: the caller passes in the time, and takeActions() returns what is to be done. Each request ends
-/// with exactly one Fail or Finished action, except one whose caller has disconnected, which ends without an action.
+/// It is a pure state machine: the caller passes in the time, and takeActions() returns the actions to carry out. Each request
+/// ends with exactly one Fail or Finished action, except one whose caller has disconnected, which ends without an action.
 class Home
 {
 public:
@@ -113,7 +113,7 @@
     void failWaiting(Base::Instant now, const absl::Status &error);
 
     /// Handles the loss of the connection to @p member. Messages in both directions may have been lost.
-    void memberLost(Base::Instant now, const std::string &member);
+    void connectionLost(Base::Instant now, const std::string &member);
 
     /// Handles timeouts, delayed retries and periodic reports; to be called regularly.
     void tick(Base::Instant now);
--- a/Source/Scaling/scaler.h
+++ b/Source/Scaling/scaler.h
@@ -98,7 +98,7 @@
 };
 
 /// Decides for one host whether it holds the scaling duty, and which orders are due. It is a pure state machine: tick() returns
-/// actions for the caller to carry out, and their results come back through the on...() functions.
+/// actions for the caller to carry out, and their results are passed to the on...() functions.
 class Scaler
 {
 public:
@@ -109,7 +109,7 @@
     std::vector<ScalerAction> tick(Base::Instant now, std::optional<std::size_t> rank, const std::vector<ScaledPool> &pools,
                                    bool idle);
 
-    /// Takes the result of a read. The version is 0 if there is no row; @p row is empty if the store did not answer.
+    /// Takes the result of a read. The version is 0 if there is no row; @p row is empty if the store did not respond.
     void onRowRead(Base::Instant now, const std::optional<Lease::StoredRow> &row);
 
     /// Takes the result of a write. @p row is the stored row if it had another version than expected.
@@ -145,7 +145,7 @@
     std::vector<PoolBaseline> m_baselines;
     Base::Instant m_baselinesGrewAt {};
     std::vector<SentOrder> m_sent; ///< latest order for each pool, data centre and kind; in a dry run the logged ones
-    std::optional<Base::Instant> m_neededSince; ///< start of the present time in which orders are needed
+    std::optional<Base::Instant> m_neededSince; ///< start of the current period in which orders are needed
     Base::Instant m_lastRegularOrder {}; ///< time of the last order for regular endpoints, which usually gives some up
     Base::Instant m_nextRead {};
     Base::Instant m_nextAttempt {}; ///< earliest time for an action after a failed one
--- a/Tests/Usage/usagereportertest.cpp
+++ b/Tests/Usage/usagereportertest.cpp
@@ -520,7 +520,7 @@
 }
 
 /// Hosts are killed, frozen, cut off and restarted, most often the one that reported last. Clocks are wrong by seconds. The store
-/// and the platform are down or slow, do not answer, or lose responses, also those of writes that are carried out seconds later.
+/// and the platform are down or slow, do not respond, or lose responses, also those of writes that are carried out seconds later.
 TEST(UsageDuty, oneHostReportsAtATimeUnderRandomFaults)
 {
     constexpr std::uint64_t seeds = 200;
@@ -561,7 +561,7 @@
     CHECK_TRUE(correct * 10 > due * 6);
 }
 
-/// The simulated platform detects a lease without a margin, where the next holder waits no longer than the present one may act.
+/// The simulated platform detects a lease without a margin, where the next holder waits no longer than the current one may act.
 TEST(UsageDuty, detectsALeaseWithoutAMargin)
 {
     std::uint64_t seen = 0;
